--- a/crates/comfreyhall/tests/settings_soak/fleet.rs
+++ b/crates/comfreyhall/tests/settings_soak/fleet.rs
@@ -21,7 +21,7 @@
 use super::{
     emulator::{
         Store, Worker,
-        caller::ready,
+        caller::is_ready,
         entry,
         link::{Link, Mode},
         start_store, start_worker,
@@ -135,7 +135,7 @@
         let begun = Instant::now();
         for i in 0..size.daemons {
             let addr = format!("{}:{READY}", fleet.daemons[i].ip);
-            while !ready(&addr).await {
+            while !is_ready(&addr).await {
                 assert!(begun.elapsed() < START, "daemon {i} does not get ready");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/crates/comfreyhall/tests/settings_soak/probe.rs
+++ b/crates/comfreyhall/tests/settings_soak/probe.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 use super::{
-    emulator::caller::{Caller, Ran},
+    emulator::caller::{Caller, PathOutcome},
     fleet::Fleet,
     history::{self, Newest, Seen, Service},
     oracle::{Answer, Disturbance, Whom},
@@ -47,7 +47,7 @@
         let id = format!("d{daemon}r{}", out.len());
         let sent = Instant::now();
         let ran = caller
-            .ask_path(&front, &format!("{}x", path.text()), &id)
+            .send_path(&front, &format!("{}x", path.text()), &id)
             .await;
         out.push(Answer {
             daemon,
@@ -82,12 +82,14 @@
     out
 }
 
-fn seen(ran: &Ran) -> Seen {
+fn seen(ran: &PathOutcome) -> Seen {
     match ran {
-        Ran::At(target) if target.starts_with(Service::App.name()) => Seen::Ran(Service::App),
-        Ran::At(_) => Seen::Ran(Service::Alt),
-        Ran::Status(404) => Seen::Denied,
-        Ran::Status(429 | 503) => Seen::Refused,
-        Ran::Status(_) | Ran::Unknown => Seen::Nothing,
+        PathOutcome::AnsweredBy(target) if target.starts_with(Service::App.name()) => {
+            Seen::Ran(Service::App)
+        }
+        PathOutcome::AnsweredBy(_) => Seen::Ran(Service::Alt),
+        PathOutcome::Status(404) => Seen::Denied,
+        PathOutcome::Status(429 | 503) => Seen::Refused,
+        PathOutcome::Status(_) | PathOutcome::NoAnswer => Seen::Nothing,
     }
 }
--- a/crates/comfreyhall/tests/soak.rs
+++ b/crates/comfreyhall/tests/soak.rs
@@ -35,7 +35,7 @@
 use bytes::Bytes;
 use emulator::{
     DEADLY, Store,
-    caller::{Caller, Kind, Told, ready},
+    caller::{Caller, Kind, Outcome, is_ready},
     config,
     host::{Host, Plan},
     start_store,
@@ -101,7 +101,7 @@
     kind: Kind,
     began: Instant,
     ended: Instant,
-    told: Told,
+    told: Outcome,
 }
 
 /// One daemon with its ways to the platform.
@@ -244,7 +244,7 @@
             site.add_daemon(i, &peers, &store_addr);
         }
         for daemon in &site.daemons {
-            while !ready(&daemon.ready).await {
+            while !is_ready(&daemon.ready).await {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -296,7 +296,7 @@
     /// any signal ends it; so only daemons that have come up get signals.
     async fn planned(&mut self) {
         let i = self.rng.random_range(0..DAEMONS);
-        let up = self.idle(i) && ready(&self.daemons[i].ready).await;
+        let up = self.idle(i) && is_ready(&self.daemons[i].ready).await;
         match self.rng.random_range(0..3) {
             0 if up => {
                 self.daemons[i].signal(Signal::SIGTERM);
@@ -454,10 +454,12 @@
             let ran = runs.get(&a.id).copied().unwrap_or(0);
             let lasted = a.ended - a.began;
             let what = match &a.told {
-                Told::Wrong(why) => why.clone(),
-                _ if a.kind == Kind::Once && ran > 1 => format!("ran {ran} times"),
-                Told::NotRun if a.kind == Kind::Once && ran > 0 => "said not to have run".into(),
-                Told::Broken(why) if !self.explained(a) && (ran > 0 || lasted > UNREAD) => {
+                Outcome::Invalid(why) => why.clone(),
+                _ if a.kind == Kind::Unsafe && ran > 1 => format!("ran {ran} times"),
+                Outcome::NotRun if a.kind == Kind::Unsafe && ran > 0 => {
+                    "said not to have run".into()
+                }
+                Outcome::Truncated(why) if !self.explained(a) && (ran > 0 || lasted > UNREAD) => {
                     format!("cut off in planned work: {why}")
                 }
                 _ => continue,
@@ -499,7 +501,7 @@
     while !stop.load(Ordering::SeqCst) {
         let kind = match rng.random_range(0..4) {
             0 => Kind::Safe,
-            1 => Kind::Once,
+            1 => Kind::Unsafe,
             _ => Kind::Stream,
         };
         let id = format!("r{}", next.fetch_add(1, Ordering::SeqCst));
@@ -507,7 +509,7 @@
         let adapter = rng.random_range(0..ADAPTERS) * rng.random_range(0..ADAPTERS) / ADAPTERS;
         let front = &fronts[rng.random_range(0..fronts.len())];
         let began = Instant::now();
-        let told = caller.ask(front, kind, &id, &format!("a{adapter}")).await;
+        let told = caller.send(front, kind, &id, &format!("a{adapter}")).await;
         let attempt = Attempt {
             id,
             kind,
@@ -532,7 +534,7 @@
         let (id, body) = (format!("d{i}"), Bytes::from_static(DEADLY));
         let mut caller = Caller::default();
         // Whatever it is told, it comes again.
-        caller.ask_with(front, Kind::Stream, &id, "a0", body).await;
+        caller.send_body(front, Kind::Stream, &id, "a0", body).await;
         tokio::time::sleep(DEADLY_PAUSE).await;
     }
 }
@@ -588,12 +590,12 @@
     let deadly: u64 = site.targets.iter().map(|(host, _)| host.deadly()).sum();
     // What was sent runs to its end, so that a late second run shows.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let count = |told: &Told| attempts.iter().filter(|a| a.told == *told).count();
+    let count = |told: &Outcome| attempts.iter().filter(|a| a.told == *told).count();
     println!(
         "{} attempts, {} answered, {} not run, {} faults, deadly request at engines {deadly} times",
         attempts.len(),
-        count(&Told::Answered),
-        count(&Told::NotRun),
+        count(&Outcome::Answered),
+        count(&Outcome::NotRun),
         site.faults.len()
     );
     let broken = site.broken(&attempts);
@@ -603,7 +605,7 @@
         site.dir.display()
     );
     assert!(
-        count(&Told::Answered) > 0,
+        count(&Outcome::Answered) > 0,
         "seed {seed}: nothing was answered"
     );
 }
