--- a/crates/comfreyhall/tests/settings_soak/fleet.rs
+++ b/crates/comfreyhall/tests/settings_soak/fleet.rs
@@ -20,11 +20,11 @@
 
 use super::{
     emulator::{
-        Store, Worker,
+        Store, Target,
         caller::is_ready,
         entry,
         link::{Link, Mode},
-        start_store, start_worker,
+        start_store, start_target,
     },
     history::{self, Newest},
     oracle::{Disturbance, Made, Record, Whom},
@@ -448,8 +448,8 @@
 async fn start_targets(store: &Store) {
     for (service, count) in [("llm", 3), ("app", 3), ("alt", 3)] {
         for at in 0..count {
-            let worker = Worker::new(&format!("{service}{at}"), Arc::new(Mutex::new(0)));
-            let addr = start_worker(worker.clone()).await;
+            let worker = Target::new(&format!("{service}{at}"), Arc::new(Mutex::new(0)));
+            let addr = start_target(worker.clone()).await;
             let mut said = entry(service, &addr, "ready");
             said["zone"] = json!(domain(at));
             store.put("servers", &worker.id, &said);
--- a/crates/comfreyhall/tests/soak.rs
+++ b/crates/comfreyhall/tests/soak.rs
@@ -34,7 +34,7 @@
 
 use bytes::Bytes;
 use emulator::{
-    DEADLY, Store,
+    POISON_BODY, Store,
     caller::{Caller, Kind, Outcome, is_ready},
     config,
     host::{Host, Plan},
@@ -217,8 +217,8 @@
             let plan = Plan {
                 name: id.into(),
                 service,
-                breaks: breaks.clone(),
-                pace_ms: PACE_MS,
+                stream_breaks: breaks.clone(),
+                delay_ms: PACE_MS,
             };
             let mut wire = None;
             let host = Host::start_behind(plan, store.clone(), |addr| {
@@ -430,7 +430,7 @@
         let mut out = HashMap::new();
         let boots = self.targets.iter().flat_map(|(host, _)| host.boots());
         for worker in boots {
-            for head in worker.ran.lock().unwrap().iter() {
+            for head in worker.executed.lock().unwrap().iter() {
                 let id = head["x-request-id"].to_str().unwrap().to_string();
                 *out.entry(id).or_default() += 1;
             }
@@ -531,7 +531,7 @@
         if stop.load(Ordering::SeqCst) {
             return;
         }
-        let (id, body) = (format!("d{i}"), Bytes::from_static(DEADLY));
+        let (id, body) = (format!("d{i}"), Bytes::from_static(POISON_BODY));
         let mut caller = Caller::default();
         // Whatever it is told, it comes again.
         caller.send_body(front, Kind::Stream, &id, "a0", body).await;
@@ -587,7 +587,11 @@
     for (host, _) in &site.targets {
         site.faults.extend(host.crashes());
     }
-    let deadly: u64 = site.targets.iter().map(|(host, _)| host.deadly()).sum();
+    let deadly: u64 = site
+        .targets
+        .iter()
+        .map(|(host, _)| host.poison_count())
+        .sum();
     // What was sent runs to its end, so that a late second run shows.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let count = |told: &Outcome| attempts.iter().filter(|a| a.told == *told).count();
--- a/crates/comfreyhall/tests/soak/words.rs
+++ b/crates/comfreyhall/tests/soak/words.rs
@@ -35,16 +35,16 @@
             2 => *boot.limit.lock().unwrap() = Some("a few".into()),
             3 => {
                 let rest: f64 = rng.random_range(0.1..2.5);
-                *boot.rest.lock().unwrap() = Some(format!("{rest:.1}"));
+                *boot.cooldown.lock().unwrap() = Some(format!("{rest:.1}"));
             }
-            _ => boot.leaving.store(true, Ordering::SeqCst),
+            _ => boot.draining.store(true, Ordering::SeqCst),
         }
         let lasts = rng.random_range(LASTS_MS);
         tokio::time::sleep(Duration::from_millis(lasts)).await;
         *boot.limit.lock().unwrap() = None;
-        *boot.rest.lock().unwrap() = None;
-        if boot.leaving.load(Ordering::SeqCst) {
-            boot.ends.notify_one();
+        *boot.cooldown.lock().unwrap() = None;
+        if boot.draining.load(Ordering::SeqCst) {
+            boot.crash_signal.notify_one();
         }
         let pause = rng.random_range(0..PAUSE_MS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
