--- a/crates/comfreyhall/tests/settings_soak/fleet.rs
+++ b/crates/comfreyhall/tests/settings_soak/fleet.rs
@@ -22,9 +22,8 @@
     emulator::{
         Store, Target,
         caller::is_ready,
-        entry,
         link::{Link, Mode},
-        start_store, start_target,
+        start_store, start_target, target_entry,
     },
     history::{self, Newest},
     oracle::{Disturbance, Made, Record, Whom},
@@ -145,7 +144,7 @@
     }
 
     async fn add(&mut self, i: usize, store: &str) {
-        let link = Link::to(store, self.size.link_kb << 10).await;
+        let link = Link::start(store, self.size.link_kb << 10).await;
         let at = |port: u16| format!("{}:{port}", self.net.ip(i));
         let seeds: Vec<String> = (0..KNOWN)
             .map(|s| format!("{}:{PEERS}", self.net.ip(s)))
@@ -215,7 +214,7 @@
 
     /// Calls to the store and bytes between it and the daemons so far.
     pub fn traffic(&self) -> String {
-        let bytes: u64 = self.daemons.iter().map(|d| d.link.bytes()).sum();
+        let bytes: u64 = self.daemons.iter().map(|d| d.link.forwarded_bytes()).sum();
         let calls = self.store.calls.lock().unwrap().len();
         format!(
             "{calls} reads and commits, {} KB from and to the store",
@@ -318,7 +317,7 @@
     pub fn spoil(&mut self, whom: &[usize], mode: Mode, lasts: Duration) {
         self.begin_links(whom, lasts);
         for &i in whom {
-            self.daemons[i].link.set(mode);
+            self.daemons[i].link.set_mode(mode);
         }
     }
 
@@ -326,7 +325,7 @@
     pub fn slow(&mut self, whom: &[usize], kb: u64, lasts: Duration) {
         self.begin_links(whom, lasts);
         for &i in whom {
-            self.daemons[i].link.set_speed(kb << 10);
+            self.daemons[i].link.set_bandwidth(kb << 10);
         }
     }
 
@@ -338,14 +337,14 @@
         for active in ended {
             match active.end {
                 End::StoreUp => self.store.down.store(false, Ordering::SeqCst),
-                End::StoreSpeaks => self.store.silent.store(false, Ordering::SeqCst),
+                End::StoreSpeaks => self.store.hang_calls.store(false, Ordering::SeqCst),
                 End::Start(i) => self.launch(i),
                 End::Thaw(i) => self.signal(i, Signal::SIGCONT),
                 End::Change => self.change(),
                 End::Links(whom) => {
                     for i in whom {
-                        self.daemons[i].link.set(Mode::Open);
-                        self.daemons[i].link.set_speed(self.size.link_kb << 10);
+                        self.daemons[i].link.set_mode(Mode::Open);
+                        self.daemons[i].link.set_bandwidth(self.size.link_kb << 10);
                     }
                 }
             }
@@ -450,7 +449,7 @@
         for at in 0..count {
             let worker = Target::new(&format!("{service}{at}"), Arc::new(Mutex::new(0)));
             let addr = start_target(worker.clone()).await;
-            let mut said = entry(service, &addr, "ready");
+            let mut said = target_entry(service, &addr, "ready");
             said["zone"] = json!(domain(at));
             store.put("servers", &worker.id, &said);
         }
--- a/crates/comfreyhall/tests/settings_soak/trouble.rs
+++ b/crates/comfreyhall/tests/settings_soak/trouble.rs
@@ -73,7 +73,7 @@
             fleet.begin(Whom::All, lasts, End::StoreUp);
         }
         1 => {
-            fleet.store.silent.store(true, Ordering::SeqCst);
+            fleet.store.hang_calls.store(true, Ordering::SeqCst);
             fleet.begin(Whom::All, lasts, End::StoreSpeaks);
         }
         _ => spoil(fleet, rng, 1.0, lasts),
--- a/crates/comfreyhall/tests/soak.rs
+++ b/crates/comfreyhall/tests/soak.rs
@@ -37,7 +37,7 @@
     POISON_BODY, Store,
     caller::{Caller, Kind, Outcome, is_ready},
     config,
-    host::{Host, Plan},
+    host::{Host, TargetOptions},
     start_store,
 };
 use nix::{
@@ -214,14 +214,14 @@
             ("s1", "app"),
             ("s2", "app"),
         ] {
-            let plan = Plan {
+            let plan = TargetOptions {
                 name: id.into(),
                 service,
                 stream_breaks: breaks.clone(),
                 delay_ms: PACE_MS,
             };
             let mut wire = None;
-            let host = Host::start_behind(plan, store.clone(), |addr| {
+            let host = Host::start_proxied(plan, store.clone(), |addr| {
                 wire.insert(Wire::to(addr)).addr.clone()
             });
             targets.push((host, wire.unwrap()));
@@ -335,7 +335,7 @@
                 self.begin(began, lasts, End::StoreUp);
             }
             3 => {
-                self.store.mute.store(true, Ordering::SeqCst);
+                self.store.hang_commits.store(true, Ordering::SeqCst);
                 self.begin(began, lasts, End::StoreAnswers);
             }
             4 | 5 => {
@@ -392,7 +392,7 @@
                     self.store.down.store(false, Ordering::SeqCst);
                     self.change_in_series();
                 }
-                End::StoreAnswers => self.store.mute.store(false, Ordering::SeqCst),
+                End::StoreAnswers => self.store.hang_commits.store(false, Ordering::SeqCst),
                 End::Mend(way) => {
                     let wire = self.wire(way);
                     wire.cut(false);
@@ -585,7 +585,7 @@
         fault.await.unwrap();
     }
     for (host, _) in &site.targets {
-        site.faults.extend(host.crashes());
+        site.faults.extend(host.outages());
     }
     let deadly: u64 = site
         .targets
