--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -113,18 +113,18 @@
     let limit = ask.limit_ms();
     // After the load the prompt is still to be read.
     let after = plan.wait_ms as u64;
-    let wish = keeper::Wish {
+    let wish = keeper::PlacementRequest {
         adapter: adapter.clone(),
-        picks: plan.picks.clone(),
+        candidates: plan.picks.clone(),
         version: plan.version,
         priority: u32::from(ask.priority),
-        aim_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
-        begin: Duration::from_millis(limit.min(PLACE_MS)),
-        limit: Duration::from_millis(limit),
+        objective_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
+        start_timeout: Duration::from_millis(limit.min(PLACE_MS)),
+        timeout: Duration::from_millis(limit),
     };
     // Others count on the place that this request is about to hold.
     let waits = Stall::begin(node, &plan.target.id, &adapter, plan.tokens);
-    let placed = keeper::ensure(node, wish).await;
+    let placed = keeper::place_adapter(node, wish).await;
     drop(waits);
     placed.map_err(|e| Unbound::Unplaced {
         why: e.why,
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     flight::Seat,
-    keeper::Pick,
+    keeper::Candidate,
     node::{Node, View},
     outbound::{self, Shut},
 };
@@ -100,7 +100,7 @@
     /// Whether the adapter has to be loaded first.
     pub(crate) loads: bool,
     /// Engines that may load it, the target first, for the holder.
-    pub(crate) picks: Vec<Pick>,
+    pub(crate) picks: Vec<Candidate>,
     /// The run that a holder has bound to the target.
     pub(crate) seat: Option<Seat>,
     /// Whether the holder has granted it a part of the target's limit.
@@ -209,13 +209,13 @@
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
+fn picks(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Candidate> {
     let others = loaders.iter().filter(|c| c.id != best.id);
-    let others = others.map(|c| Pick {
+    let others = others.map(|c| Candidate {
         target: c.id.clone(),
         extra_ms: (c.cost(again_ms) - best.cost(again_ms)).max(0.0) as u64,
     });
-    let first = Pick {
+    let first = Candidate {
         target: best.id.clone(),
         extra_ms: 0,
     };
@@ -326,7 +326,7 @@
             continue;
         }
         let recent = view.residency.recent(adapter, &t.id, now);
-        choice.load_ms = node.keepers.load_ms(recent);
+        choice.load_ms = node.keepers.expected_load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
         choice.stored = !recent && !hot && policies.spare_store;
         choice.evicts =
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -227,7 +227,7 @@
         match reply {
             OrderReply::Accepted => {
                 let now = self.node.now();
-                let expected = self.node.keepers.load_ms(recent);
+                let expected = self.node.keepers.expected_load_ms(recent);
                 let coming = Coming {
                     version,
                     ordered: now,
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -30,8 +30,8 @@
 
 use self::ticket::{Done, Ticket};
 pub(crate) use self::{
-    ticket::{Placed, Unplaced},
-    wish::{Pick, Wish, ensure},
+    ticket::{Placed, PlacementError},
+    wish::{Candidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
@@ -125,7 +125,7 @@
 }
 
 /// All keepers of this daemon.
-pub(crate) struct Keepers {
+pub(crate) struct EngineControllers {
     jobs: Mutex<Map<Name, mpsc::Sender<Job>>>,
     /// Engines to which each adapter is on its way.
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
@@ -137,7 +137,7 @@
     times: Mutex<[f64; 2]>,
 }
 
-impl Default for Keepers {
+impl Default for EngineControllers {
     fn default() -> Self {
         Self {
             jobs: Mutex::default(),
@@ -150,7 +150,7 @@
     }
 }
 
-impl Keepers {
+impl EngineControllers {
     fn window(&self) -> MutexGuard<'_, Window> {
         self.window.lock().expect("no holder of this lock panics")
     }
@@ -167,7 +167,7 @@
     }
 
     /// Expected ms of a load.
-    pub(crate) fn load_ms(&self, recent: bool) -> f64 {
+    pub(crate) fn expected_load_ms(&self, recent: bool) -> f64 {
         let times = self.times.lock().expect("no holder of this lock panics");
         times[usize::from(recent)]
     }
@@ -320,7 +320,7 @@
 }
 
 /// Tells all who wait how it ended.
-fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, Unplaced>) {
+fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, PlacementError>) {
     for done in waiting {
         // Whoever waited may have left.
         let _ = done.send(result.clone());
--- a/crates/comfreyhall-node/src/keeper/ticket.rs
+++ b/crates/comfreyhall-node/src/keeper/ticket.rs
@@ -20,15 +20,15 @@
 /// Why an adapter was not placed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{why}")]
-pub(crate) struct Unplaced {
+pub(crate) struct PlacementError {
     pub(crate) why: String,
     /// Engines that take no orders: they are gone, or another boot.
     pub(crate) gone: Vec<Name>,
 }
 
-impl From<&str> for Unplaced {
+impl From<&str> for PlacementError {
     fn from(why: &str) -> Self {
-        Unplaced {
+        PlacementError {
             why: why.to_string(),
             gone: Vec::new(),
         }
@@ -36,7 +36,7 @@
 }
 
 /// Who waits for an adapter.
-pub(super) type Done = oneshot::Sender<Result<Placed, Unplaced>>;
+pub(super) type Done = oneshot::Sender<Result<Placed, PlacementError>>;
 
 /// Engines that took no orders, as keepers noted. It outlives the ticket: when
 /// all keepers have let go of a wish, its asker still learns of them.
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -3,7 +3,7 @@
 use comfreyhall_domain::AdapterRef;
 use tokio::sync::mpsc;
 
-use super::{Pick, Wish, ensure};
+use super::{Candidate, PlacementRequest, place_adapter};
 use crate::quiet::node;
 
 /// Symptom: an engine that was gone was asked again by every request. Events:
@@ -21,21 +21,21 @@
         job.ticket.as_ref().unwrap().note_gone(&"e".into());
         job.yield_to_others(done);
     });
-    let wish = Wish {
+    let wish = PlacementRequest {
         adapter: AdapterRef {
             model: "m".into(),
             adapter: Some("a".into()),
         },
-        picks: vec![Pick {
+        candidates: vec![Candidate {
             target: "e".into(),
             extra_ms: 0,
         }],
         version: 0,
         priority: 0,
-        aim_ms: 1_000,
-        begin: Duration::from_secs(5),
-        limit: Duration::from_secs(5),
+        objective_ms: 1_000,
+        start_timeout: Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
     };
-    let unplaced = ensure(&node, wish).await.unwrap_err();
+    let unplaced = place_adapter(&node, wish).await.unwrap_err();
     assert_eq!(unplaced.gone, ["e".into()]);
 }
