--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -152,7 +152,7 @@
     /// Whether a holder of leases, other than this daemon, tells it what is
     /// known in a large fleet.
     pub(crate) fn served(&self, node: &Node) -> bool {
-        let holding = node.leases.any(node.settings().bounds.fencing);
+        let holding = node.leases.holds_any(node.settings().bounds.fencing);
         let state = self.state();
         large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
     }
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -192,7 +192,7 @@
         }
         let ours = news.cessions.iter().filter(|c| c.to == self.me.peer);
         for cession in ours {
-            node.leases.accept(&cession.group, cession.token);
+            node.leases.accept_handover(&cession.group, cession.token);
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
@@ -275,7 +275,7 @@
     /// Takes in what a peer tells of itself; returns its work at engines.
     fn learn_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
         for holding in &news.holdings {
-            node.leases.beat(&holding.group, holding.token);
+            node.leases.observe_token(&holding.group, holding.token);
         }
         let mut state = self.state();
         let limit = Self::alive_ms(state.peers.len());
--- a/crates/comfreyhall-node/src/fleet/swap.rs
+++ b/crates/comfreyhall-node/src/fleet/swap.rs
@@ -56,7 +56,7 @@
         let last = p.heard.max(p.vouched).max(p.met);
         p.seed || now.saturating_sub(last) < FORGET_MS
     });
-    let holding = node.leases.any(node.settings().bounds.fencing);
+    let holding = node.leases.holds_any(node.settings().bounds.fencing);
     let out = if hub::large(state.peers.len()) {
         state.due_large(holding, now)
     } else {
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -208,7 +208,7 @@
 
 /// Whether this daemon holds a lease.
 fn holding(node: &Node) -> bool {
-    node.leases.any(node.settings().bounds.fencing)
+    node.leases.holds_any(node.settings().bounds.fencing)
 }
 
 /// How long a feed call may wait for a change.
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -28,7 +28,7 @@
         loop {
             tokio::time::sleep(PERIOD).await;
             let wanted = node.policies().early_copies;
-            if wanted && node.leases.any(node.settings().bounds.fencing) {
+            if wanted && node.leases.holds_any(node.settings().bounds.fencing) {
                 order(&node);
             }
         }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -63,7 +63,7 @@
             }
             OrderReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.beat(&self.target.domain, token);
+                self.node.leases.observe_token(&self.target.domain, token);
             }
             // It is not given orders again before it has reported.
             OrderReply::Unsent => self.synced = false,
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -34,17 +34,17 @@
 const STRIDE: u64 = 1_000;
 
 /// A lease without its way to the store.
-pub(crate) trait Held: Send + Sync {
+pub(crate) trait HeldLease: Send + Sync {
     fn token(&self, now: Instant) -> Option<u64>;
-    fn lapsed(&self) -> Option<u64>;
+    fn expired_token(&self) -> Option<u64>;
 }
 
-impl<R: Rows> Held for Lease<R> {
+impl<R: Rows> HeldLease for Lease<R> {
     fn token(&self, now: Instant) -> Option<u64> {
         Lease::token(self, now)
     }
 
-    fn lapsed(&self) -> Option<u64> {
+    fn expired_token(&self) -> Option<u64> {
         self.lapsed_token()
     }
 }
@@ -52,7 +52,7 @@
 /// The leases this daemon knows.
 #[derive(Default)]
 pub(crate) struct Leases {
-    held: Mutex<Map<Name, Arc<dyn Held>>>,
+    held: Mutex<Map<Name, Arc<dyn HeldLease>>>,
     /// Tokens that stopping holders handed to this daemon, by group.
     ceded: Mutex<Map<Name, u64>>,
     /// Highest token of another holder by group, as told by engines and peers.
@@ -76,7 +76,7 @@
             held.get(group).cloned()
         };
         let current = lease.as_ref().and_then(|l| l.token(clock::instant()));
-        let lapsed = lease.and_then(|l| l.lapsed().filter(|_| fencing));
+        let lapsed = lease.and_then(|l| l.expired_token().filter(|_| fencing));
         let ceded = {
             let ceded = self.ceded.lock().expect("no holder of this lock panics");
             ceded.get(group).copied().filter(|_| fencing)
@@ -95,14 +95,14 @@
     /// cannot give its lease back, and all loads of its group stand still
     /// until the store is back and a lease's length has passed: 9 s in an
     /// incident with an outage of 8 s.
-    pub(crate) fn cede(&self, group: &str, fencing: bool) -> Option<u64> {
+    pub(crate) fn hand_over(&self, group: &str, fencing: bool) -> Option<u64> {
         let token = self.token(group, fencing).filter(|_| fencing)?;
-        self.beat(group, token);
+        self.observe_token(group, token);
         Some(token + 1)
     }
 
     /// Goes on with `group` under `token` for a holder that stopped.
-    pub(crate) fn accept(&self, group: &str, token: u64) {
+    pub(crate) fn accept_handover(&self, group: &str, token: u64) {
         let mut ceded = self.ceded.lock().expect("no holder of this lock panics");
         let known = ceded.entry(group.into()).or_default();
         *known = token.max(*known);
@@ -136,18 +136,18 @@
     }
 
     /// Whether this daemon holds any group.
-    pub(crate) fn any(&self, fencing: bool) -> bool {
+    pub(crate) fn holds_any(&self, fencing: bool) -> bool {
         !self.held(fencing).is_empty()
     }
 
     /// Another holder of `group` has `token`, or an engine refused it.
-    pub(crate) fn beat(&self, group: &str, token: u64) {
+    pub(crate) fn observe_token(&self, group: &str, token: u64) {
         let mut beaten = self.beaten.lock().expect("no holder of this lock panics");
         let highest = beaten.entry(group.into()).or_default();
         *highest = token.max(*highest);
     }
 
-    pub(crate) fn add(&self, group: &Name, lease: Arc<dyn Held>) {
+    pub(crate) fn add(&self, group: &Name, lease: Arc<dyn HeldLease>) {
         let mut held = self.held.lock().expect("no holder of this lock panics");
         held.insert(group.clone(), lease);
     }
@@ -366,7 +366,7 @@
         let Some(to) = node.fleet.successor(group, now) else {
             continue;
         };
-        if let Some(token) = node.leases.cede(group, fencing) {
+        if let Some(token) = node.leases.hand_over(group, fencing) {
             log::info!(target: "leases", group:% = group, token, to:% = to; "orders handed on");
             node.fleet.cede(group, token, &to);
         }
--- a/crates/comfreyhall-node/src/lib.rs
+++ b/crates/comfreyhall-node/src/lib.rs
@@ -31,7 +31,7 @@
 pub use fleet::serve_peers;
 pub use node::Node;
 pub use serve::{EventStream, Reply};
-pub use stop::leave;
+pub use stop::drain;
 
 use std::sync::Arc;
 
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -168,7 +168,7 @@
         let Some(mut job) = Job::new(self, &config, ask, route, caller) else {
             return Reply::NoRoute;
         };
-        if !stop::takes(self, job.limit) {
+        if !stop::accepts(self, job.limit) {
             job.ended = true;
             log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name; "refused: the stop is near its end");
             return Reply::NotReady {
--- a/crates/comfreyhall-node/src/stop.rs
+++ b/crates/comfreyhall-node/src/stop.rs
@@ -28,7 +28,7 @@
 /// stream seconds after the signal, and the process ends in its middle. Once
 /// callers have had time to learn of the stop, only what surely ends before
 /// the process is taken.
-pub(crate) fn takes(node: &Node, limit: u64) -> bool {
+pub(crate) fn accepts(node: &Node, limit: u64) -> bool {
     let began = node.stopping();
     if node.closed() {
         return false;
@@ -48,7 +48,7 @@
 ///
 /// `close_idle` is called when callers have had time to learn of it: take no
 /// new connections then and close idle ones; those in use end on their own.
-pub async fn leave(node: &Arc<Node>, close_idle: impl Fn()) {
+pub async fn drain(node: &Arc<Node>, close_idle: impl Fn()) {
     let began = node.now();
     node.set_stopping(began);
     node.life.handle(Event::Stop);
--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     events::Events,
-    leases::{Held, Leases},
+    leases::{HeldLease, Leases},
     node::View,
 };
 
@@ -30,12 +30,12 @@
     lapsed: Option<u64>,
 }
 
-impl Held for Shown {
+impl HeldLease for Shown {
     fn token(&self, _: Instant) -> Option<u64> {
         self.token
     }
 
-    fn lapsed(&self) -> Option<u64> {
+    fn expired_token(&self) -> Option<u64> {
         self.lapsed
     }
 }
@@ -62,10 +62,10 @@
 fn token_beaten_stops() {
     let holder = leases(Some(2), Some(2));
     let token = holder.token("g", true).unwrap();
-    holder.beat("g", token + 1);
+    holder.observe_token("g", token + 1);
     assert_eq!(holder.token("g", true), None);
     let next = leases(Some(3), Some(3));
-    next.beat("g", token + 1);
+    next.observe_token("g", token + 1);
     assert!(next.token("g", true).unwrap() > token + 1);
 }
 
@@ -76,16 +76,16 @@
 fn cede_successor_between_holders() {
     let old = leases(None, Some(2));
     let token = old.token("g", true).unwrap();
-    let ceded = old.cede("g", true).unwrap();
+    let ceded = old.hand_over("g", true).unwrap();
     assert_eq!(old.token("g", true), None);
     let successor = Leases::default();
-    successor.accept("g", ceded);
+    successor.accept_handover("g", ceded);
     assert_eq!(successor.token("g", true), Some(ceded));
     assert_eq!(successor.held(true), vec![("g".into(), ceded)]);
     assert!(ceded > token);
     // Whoever takes the lease from the store next is above both.
     assert!(leases(Some(3), Some(3)).token("g", true).unwrap() > ceded);
-    assert_eq!(leases(None, Some(2)).cede("g", false), None);
+    assert_eq!(leases(None, Some(2)).hand_over("g", false), None);
 }
 
 /// Symptom: callers of all five domains queued at the engines of one, while
--- a/crates/comfreyhall-node/tests/stop.rs
+++ b/crates/comfreyhall-node/tests/stop.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use comfreyhall_domain::Kind;
-use comfreyhall_node::leave;
+use comfreyhall_node::drain;
 use support::*;
 
 /// Symptom: a caller's connection closed without an answer in the last
@@ -18,7 +18,7 @@
     *script.always.lock().unwrap() = Some(Act::Answer(200, 400));
     let stopping = node.clone();
     let stop = tokio::spawn(async move {
-        leave(&stopping, || {}).await;
+        drain(&stopping, || {}).await;
         stopping.in_flight()
     });
     let mut refused = false;
@@ -42,7 +42,7 @@
     let (node, script) = serving(long, Vec::new()).await;
     *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
     let stopping = node.clone();
-    let stop = tokio::spawn(async move { leave(&stopping, || {}).await });
+    let stop = tokio::spawn(async move { drain(&stopping, || {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut long = ask("early");
     long.left_ms = Some(15_000);
