--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -8,7 +8,7 @@
 use super::{Bind, Bound, Unbound};
 use crate::{
     choose::{self, Plan, Wish},
-    fleet::key_of,
+    fleet::adapter_key,
     flight::Stall,
     keeper::{self, Placed},
     leases,
@@ -56,7 +56,7 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.asked(&key_of(adapter), groups, now) {
+    if view.asked(&adapter_key(adapter), groups, now) {
         view.heat(adapter, now);
     }
 }
--- a/crates/comfreyhall-node/src/bind/mod.rs
+++ b/crates/comfreyhall-node/src/bind/mod.rs
@@ -126,13 +126,13 @@
         true => ask.limit_ms() + RETURN_MS,
         false => ANSWER_MS,
     };
-    let call = client.bind(wire::ask(node.fleet.peer(), &ask));
+    let call = client.bind(wire::ask(node.fleet.peer_addr(), &ask));
     let why = match tokio::time::timeout(Duration::from_millis(limit), call).await {
         Ok(Ok(reply)) => return wire::reply(reply.into_inner()),
         Ok(Err(status)) => status.message().to_string(),
         Err(_) => "no answer in time".to_string(),
     };
     log::info!(target: "bind", peer:% = holder, group:% = ask.group, run = ask.run, waits = ask.may_wait, why; "holder not heard");
-    node.fleet.mute(&holder, node.now());
+    node.fleet.suspend_holder(&holder, node.now());
     Err(Unbound::Unanswered)
 }
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -90,11 +90,11 @@
                 target: bound.target.clone(),
                 group,
                 adapter,
-                unread: bound.unread,
-                ahead,
-                bound: now,
+                unread_tokens: bound.unread,
+                queued_tokens: ahead,
+                bound_at_ms: now,
             };
-            node.fleet.bound(node, &message.from, run, counted);
+            node.fleet.add_bound_run(node, &message.from, run, counted);
             BindReply {
                 target: bound.target.to_string(),
                 version: bound.version,
--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -215,7 +215,7 @@
 /// This process, as a home.
 fn me(node: &Node) -> Home {
     Home {
-        peer: node.fleet.peer().into(),
+        peer: node.fleet.peer_addr().into(),
         boot: node.fleet.boot(),
     }
 }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -65,14 +65,14 @@
     let stands_in = of == Of::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.first_for(group, now) {
         Some(peer) => Some(peer),
-        None => (of == Of::Targets).then(|| node.fleet.peer().into()),
+        None => (of == Of::Targets).then(|| node.fleet.peer_addr().into()),
     };
     let home = |group: &Name| match node.token(group) {
         Some(_) => Some(me(node)),
         None => {
             let peer = node.fleet.holder(group, now);
             let peer = peer.or_else(|| first(group).filter(|_| stands_in))?;
-            if *peer == *node.fleet.peer() {
+            if *peer == *node.fleet.peer_addr() {
                 return Some(me(node));
             }
             let boot = node.fleet.boot_of(&peer)?;
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -121,7 +121,7 @@
     super::refresh(node, of);
     let call = from_call(message);
     let now = node.now();
-    let met = node.fleet.met(&call.from).unwrap_or(now);
+    let met = node.fleet.known_since_ms(&call.from).unwrap_or(now);
     let answered = match &mut node.caps_of(of).state().meter {
         Some(meter) => meter.answer(&call, met, now),
         None => Reply {
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -272,9 +272,9 @@
         version,
     } = wanted;
     let now = node.now();
-    let key = crate::fleet::key_of(adapter);
+    let key = crate::fleet::adapter_key(adapter);
     let in_use = node.fleet.in_use(now);
-    let used = node.fleet.used(now);
+    let used = node.fleet.reported_in_use(now);
     let named = view.named.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, wish, engine, targets, &in_use);
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -190,7 +190,7 @@
             Vec::new()
         }
     };
-    let own = node.fleet.peer();
+    let own = node.fleet.peer_addr();
     let other = named.into_iter().filter(|a| a != own);
     let other = other.choose(&mut rand::rng());
     if let Some(addr) = other
@@ -233,7 +233,7 @@
     let mut client = node.fleet.client_at(addr);
     let ask = SettingsAsk {
         since,
-        peer: node.fleet.peer().to_string(),
+        peer: node.fleet.peer_addr().to_string(),
     };
     let failed = |status: Status| FetchError::Failed(status.message().to_string());
     let begun = tokio::time::timeout(SILENCE_TIMEOUT, client.fetch(ask)).await;
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -40,7 +40,7 @@
     ///
     /// What goes wrong without it: a holder is frozen or cut off, and until it
     /// counts as lost, some four periods later, each request waits for it.
-    pub(crate) fn mute(&self, addr: &str, now: u64) {
+    pub(crate) fn suspend_holder(&self, addr: &str, now: u64) {
         if let Some(peer) = self.state().peers.get_mut(addr) {
             peer.mute_until = now + MUTE_MS;
         }
@@ -50,7 +50,7 @@
     /// takes requests, in the group's domain if there is one.
     pub(crate) fn successor(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
-        let large = hub::large(state.peers.len());
+        let large = hub::is_large(state.peers.len());
         let ready = state.alive(now).filter_map(|(addr, peer)| {
             let about = peer.about.as_ref().filter(|a| a.ready)?;
             let weak = large && about.millicores < MUCH_CPU;
@@ -72,14 +72,14 @@
     /// Whether this daemon has too little processor to hold leases in a large
     /// fleet while others can.
     pub(crate) fn weak(&self) -> bool {
-        hub::large(self.state().peers.len()) && self.me.millicores < MUCH_CPU
+        hub::is_large(self.state().peers.len()) && self.me.millicores < MUCH_CPU
     }
 
     /// Whether the peer at `addr` is in a better place for the lease of
     /// `group` than this daemon: of its domain, and no weaker.
     pub(crate) fn better(&self, group: &str, addr: &str) -> bool {
         let state = self.state();
-        let large = hub::large(state.peers.len());
+        let large = hub::is_large(state.peers.len());
         let strong = |d: &Daemon| !large || d.millicores >= MUCH_CPU;
         let about = state.peers.get(addr).and_then(|p| p.about.as_ref());
         let near = about.is_some_and(|d| d.domain == group && strong(d) >= strong(&self.me));
@@ -95,7 +95,7 @@
     /// engines.
     pub(crate) fn ahead(&self, group: &str, now: u64) -> Ahead {
         let state = self.state();
-        let large = hub::large(state.peers.len());
+        let large = hub::is_large(state.peers.len());
         let class = |d: &Daemon| (large && d.millicores >= MUCH_CPU, d.domain == group);
         let turn = |d: &Daemon| home_rank(group, &d.peer);
         let about = state.alive(now).filter_map(|(_, p)| p.about.as_ref());
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -34,7 +34,7 @@
 const SUMMARY_MS: u64 = 100;
 
 /// Whether a fleet of `peers` reports to holders.
-pub(super) fn large(peers: usize) -> bool {
+pub(super) fn is_large(peers: usize) -> bool {
     peers > FANOUT
 }
 
@@ -146,7 +146,7 @@
 impl Fleet {
     /// Whether the fleet is so large that it reports to holders.
     pub(crate) fn large(&self) -> bool {
-        large(self.state().peers.len())
+        is_large(self.state().peers.len())
     }
 
     /// Whether a holder of leases, other than this daemon, tells it what is
@@ -154,7 +154,7 @@
     pub(crate) fn served(&self, node: &Node) -> bool {
         let holding = node.leases.holds_any(node.settings().bounds.fencing);
         let state = self.state();
-        large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
+        is_large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
     }
 
     /// Adds what a holder tells in a large fleet to the answer for the daemon
@@ -220,7 +220,7 @@
     /// Takes in who is said to hold leases in a large fleet.
     pub(super) fn learn_holders(&self, holders: &[String], now: u64) {
         for addr in holders {
-            self.meet(addr, false);
+            self.add_peer(addr, false);
         }
         self.state().hint(holders, now);
     }
@@ -251,7 +251,7 @@
     /// Counts the members of a holder's roster as alive.
     fn learn_roster(&self, from: &Daemon, news: &News, now: u64) {
         for member in &news.roster {
-            self.meet(&member.peer, false);
+            self.add_peer(&member.peer, false);
         }
         let mut state = self.state();
         let Some(holder) = state.peers.get_mut(from.peer.as_str()) else {
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -41,7 +41,7 @@
     }
 
     /// Since when the daemon at `peer` is known.
-    pub(crate) fn met(&self, peer: &str) -> Option<u64> {
+    pub(crate) fn known_since_ms(&self, peer: &str) -> Option<u64> {
         self.state().peers.get(peer).map(|p| p.met)
     }
 
@@ -49,7 +49,7 @@
     /// lease: one with much processor, if there is one.
     pub(crate) fn first_for(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
-        let large = hub::large(state.peers.len());
+        let large = hub::is_large(state.peers.len());
         let weak = |millicores: u32| large && millicores < MUCH_CPU;
         let alive = state.alive(now).filter_map(|(addr, peer)| {
             let about = peer.about.as_ref().filter(|a| a.ready)?;
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 mod swap;
 
 pub(crate) use self::{
-    progress::{Event, What},
+    progress::{RunChange, RunUpdate},
     runs::Run,
     swap::{announce, spawn, tell_all, tell_found},
 };
@@ -138,8 +138,8 @@
     /// Wakes the duty that fetches settings.
     fetch: Notify,
     /// Where events of runs are put to be told to holders.
-    tell: mpsc::Sender<Event>,
-    events: Mutex<Option<mpsc::Receiver<Event>>>,
+    tell: mpsc::Sender<RunUpdate>,
+    events: Mutex<Option<mpsc::Receiver<RunUpdate>>>,
 }
 
 /// How news came.
@@ -152,7 +152,7 @@
 }
 
 /// `model/adapter`.
-pub(crate) fn key_of(adapter: &AdapterRef) -> Name {
+pub(crate) fn adapter_key(adapter: &AdapterRef) -> Name {
     format!(
         "{}/{}",
         adapter.model,
@@ -161,7 +161,7 @@
     .into()
 }
 
-pub(crate) fn parse_key(key: &str) -> Option<AdapterRef> {
+pub(crate) fn parse_adapter_key(key: &str) -> Option<AdapterRef> {
     let (model, adapter) = key.split_once('/')?;
     Some(AdapterRef {
         model: model.into(),
@@ -193,7 +193,7 @@
             events: Mutex::new(Some(events)),
         };
         for seed in &settings.seeds {
-            fleet.meet(&seed.to_string(), true);
+            fleet.add_peer(&seed.to_string(), true);
         }
         fleet
     }
@@ -208,7 +208,7 @@
     }
 
     /// Adds a peer to call.
-    pub(crate) fn meet(&self, addr: &str, seed: bool) {
+    pub(crate) fn add_peer(&self, addr: &str, seed: bool) {
         if addr == self.me.peer || addr.parse::<std::net::SocketAddr>().is_err() {
             return;
         }
@@ -243,7 +243,7 @@
 
     /// Whether the peer at `addr` has been out of everybody's hearing for so
     /// long that it is taken for gone.
-    pub(crate) fn lost(&self, addr: &str, now: u64) -> bool {
+    pub(crate) fn is_lost(&self, addr: &str, now: u64) -> bool {
         let state = self.state();
         state.peers.get(addr).is_some_and(|p| {
             let last = p.heard.max(p.vouched).max(p.met);
@@ -252,7 +252,7 @@
     }
 
     /// Whether this daemon's address is the smallest of those alive.
-    pub(crate) fn first(&self, now: u64) -> bool {
+    pub(crate) fn has_lowest_addr(&self, now: u64) -> bool {
         let state = self.state();
         state.alive(now).all(|(addr, _)| *self.me.peer < **addr)
     }
@@ -295,27 +295,27 @@
     }
 
     /// A number for a run of this daemon.
-    pub(crate) fn next_run(&self) -> u64 {
+    pub(crate) fn next_run_id(&self) -> u64 {
         self.next_run.fetch_add(1, Ordering::Relaxed)
     }
 
     /// A run of this daemon is sent to its engine.
-    pub(crate) fn begin(&self, id: u64, run: Run) {
+    pub(crate) fn start_run(&self, id: u64, run: Run) {
         self.state().runs.begin(id, run);
     }
 
     /// The engine has read the prompt of a run of this daemon.
-    pub(crate) fn read(&self, id: u64) {
+    pub(crate) fn mark_prompt_read(&self, id: u64) {
         self.state().runs.read(id);
     }
 
     /// A run of this daemon has ended.
-    pub(crate) fn end(&self, id: u64) {
+    pub(crate) fn end_run(&self, id: u64) {
         self.state().runs.end(id);
     }
 
     /// Counts a run of the daemon at `peer`, which it is about to send.
-    pub(crate) fn bound(&self, node: &Node, peer: &str, id: u64, run: Run) {
+    pub(crate) fn add_bound_run(&self, node: &Node, peer: &str, id: u64, run: Run) {
         let until = node.now() + self.alive_for();
         let mut state = self.state();
         let Some(known) = state.peers.get_mut(peer) else {
@@ -353,14 +353,14 @@
     }
 
     /// Adapters in use at targets, as holders of leases tell.
-    pub(crate) fn used(&self, now: u64) -> Map<Name, u32> {
+    pub(crate) fn reported_in_use(&self, now: u64) -> Map<Name, u32> {
         let state = self.state();
         let told = state.heard(now).flat_map(|(_, p)| p.used.iter());
         told.map(|(t, n)| (t.clone(), *n)).collect()
     }
 
     /// A request for `adapter` was served: holders want to know.
-    pub(crate) fn demand(&self, key: &Name) {
+    pub(crate) fn record_demand(&self, key: &Name) {
         for peer in self.state().peers.values_mut() {
             if !peer.holdings.is_empty() {
                 *peer.demands.entry(key.clone()).or_default() += 1;
@@ -369,13 +369,18 @@
     }
 
     /// An adapter came to a target by our order, or left it (`None`).
-    pub(crate) fn placed(&self, target: &Name, adapter: &AdapterRef, version: Option<u64>) {
+    pub(crate) fn record_placement(
+        &self,
+        target: &Name,
+        adapter: &AdapterRef,
+        version: Option<u64>,
+    ) {
         let mut state = self.state();
         let serial = state.next;
         state.next += 1;
         let placed = Placed {
             target: target.to_string(),
-            adapter: key_of(adapter).to_string(),
+            adapter: adapter_key(adapter).to_string(),
             version: version.unwrap_or(0),
             dropped: version.is_none(),
         };
@@ -397,7 +402,7 @@
     }
 
     /// Where this daemon answers its peers.
-    pub(crate) fn peer(&self) -> &str {
+    pub(crate) fn peer_addr(&self) -> &str {
         &self.me.peer
     }
 
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -9,7 +9,7 @@
 use comfreyhall_routing::{Standing, Work};
 use rand::seq::IteratorRandom;
 
-use super::{Fleet, Peer, State, hub, parse_key, runs::Runs};
+use super::{Fleet, Peer, State, hub, parse_adapter_key, runs::Runs};
 use crate::{
     facts::{self, Provenance},
     follow,
@@ -38,13 +38,13 @@
         let mut state = self.state();
         let known = state.alive(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
-        news.peers = if hub::large(state.peers.len()) {
+        news.peers = if hub::is_large(state.peers.len()) {
             // Rosters name the rest.
             known.choose_multiple(&mut rand::rng(), NAMED)
         } else {
             known.collect()
         };
-        if hub::large(state.peers.len()) {
+        if hub::is_large(state.peers.len()) {
             news.holders = state.holders(now);
         }
         news.runs = state.runs_for(addr, now);
@@ -157,7 +157,7 @@
             let Some(peer) = state.peers.get(addr) else {
                 return;
             };
-            if hub::large(state.peers.len()) && !peer.holds() {
+            if hub::is_large(state.peers.len()) && !peer.holds() {
                 return;
             }
             let new = peer.about.is_none();
@@ -179,9 +179,9 @@
             return;
         };
         let now = node.now();
-        self.meet(&from.peer, false);
+        self.add_peer(&from.peer, false);
         for addr in &news.peers {
-            self.meet(addr, false);
+            self.add_peer(addr, false);
         }
         wire::hear(node, &news.evidence);
         outbound::learn(node, &news.words, &from.id);
@@ -209,7 +209,7 @@
         }
         view.board.peer(&peer, &works, now + alive_for);
         for placed in &news.placed {
-            if let Some(adapter) = parse_key(&placed.adapter) {
+            if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
                     true => Standing::Absent,
@@ -334,7 +334,7 @@
     /// at engines of its groups, and those of groups without a known holder.
     fn runs_for(&self, addr: &str, now: u64) -> Vec<EngineRun> {
         let all = self.runs.iter();
-        if !hub::large(self.peers.len()) {
+        if !hub::is_large(self.peers.len()) {
             return all.map(|(id, run)| run.to_wire(id)).collect();
         }
         let holds = |p: &Peer, group: &Name| p.holdings.iter().any(|(g, _)| g == group);
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -28,24 +28,24 @@
 
 /// What became of a run, or of a part of it.
 #[derive(Debug, Clone)]
-pub(crate) struct Event {
+pub(crate) struct RunUpdate {
     pub(crate) run: u64,
     pub(crate) target: Name,
     pub(crate) group: Name,
-    pub(crate) what: What,
+    pub(crate) change: RunChange,
 }
 
 /// One step of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum What {
+pub(crate) enum RunChange {
     /// Its first event came, after so many ms.
-    First(u64),
+    FirstEvent(u64),
     /// It has ended, or was never sent.
     Ended,
     /// Its answer says this much for the engine.
-    Good(f64),
+    Success(f64),
     /// Its answer says this much against the engine.
-    Bad(f64),
+    Failure(f64),
 }
 
 /// Starts the duty.
@@ -58,14 +58,14 @@
         while let Some(first) = events.recv().await {
             tokio::time::sleep(GATHER).await;
             let more = std::iter::from_fn(|| events.try_recv().ok());
-            let all: Vec<Event> = std::iter::once(first).chain(more).collect();
-            tell(&node, all);
+            let all: Vec<RunUpdate> = std::iter::once(first).chain(more).collect();
+            send_update(&node, all);
         }
     });
 }
 
 /// Tells each holder what concerns its engines.
-fn tell(node: &Arc<Node>, all: Vec<Event>) {
+fn send_update(node: &Arc<Node>, all: Vec<RunUpdate>) {
     let now = node.now();
     let mut calls: Map<Name, Vec<RunEvent>> = Map::default();
     for event in all {
@@ -84,7 +84,7 @@
 }
 
 /// Adds an event to those of its run.
-fn merge(events: &mut Vec<RunEvent>, event: &Event) {
+fn merge(events: &mut Vec<RunEvent>, event: &RunUpdate) {
     let at = events.iter().position(|e| e.run == event.run);
     let at = at.unwrap_or_else(|| {
         events.push(RunEvent {
@@ -95,14 +95,14 @@
         events.len() - 1
     });
     let told = &mut events[at];
-    match event.what {
-        What::First(ms) => {
+    match event.change {
+        RunChange::FirstEvent(ms) => {
             told.first = true;
             told.waited_ms = ms;
         }
-        What::Ended => told.ended = true,
-        What::Good(weight) => told.good += weight,
-        What::Bad(weight) => told.bad += weight,
+        RunChange::Ended => told.ended = true,
+        RunChange::Success(weight) => told.good += weight,
+        RunChange::Failure(weight) => told.bad += weight,
     }
 }
 
@@ -122,13 +122,13 @@
 
 impl Fleet {
     /// The events to be told; once only.
-    fn take_events(&self) -> Option<mpsc::Receiver<Event>> {
+    fn take_events(&self) -> Option<mpsc::Receiver<RunUpdate>> {
         let mut events = self.events.lock().expect("no holder of this lock panics");
         events.take()
     }
 
     /// Has an event of an own run told.
-    pub(crate) fn tell(&self, event: Event) {
+    pub(crate) fn tell(&self, event: RunUpdate) {
         if let Err(e) = self.tell.try_send(event) {
             log::debug!(target: "fleet", error:% = e; "progress left to the next news");
         }
@@ -154,16 +154,17 @@
             let mut view = node.view();
             if let Some(run) = read {
                 let work = Work {
-                    prefill: run.unread,
+                    prefill: run.unread_tokens,
                     ..Work::default()
                 };
                 view.board.peer_less(&id, &target, work);
-                view.board.learn_wait(&target, run.ahead, event.waited_ms);
+                view.board
+                    .learn_wait(&target, run.queued_tokens, event.waited_ms);
             }
             if let Some(run) = ended {
                 view.board.peer_less(&id, &target, run.work());
-                if run.bound > 0 && run.unread == 0 && run.adapter.is_some() {
-                    view.hold.learn(now.saturating_sub(run.bound));
+                if run.bound_at_ms > 0 && run.unread_tokens == 0 && run.adapter.is_some() {
+                    view.hold.learn(now.saturating_sub(run.bound_at_ms));
                 }
             }
             if event.good > 0.0 {
--- a/crates/comfreyhall-node/src/fleet/runs.rs
+++ b/crates/comfreyhall-node/src/fleet/runs.rs
@@ -9,7 +9,7 @@
 use comfreyhall_protocol::EngineRun;
 use comfreyhall_routing::Work;
 
-use super::{key_of, parse_key};
+use super::{adapter_key, parse_adapter_key};
 
 /// How long a run that was bound for a daemon counts though its news does not
 /// name it, in ms: its last news may have been made before it had the answer,
@@ -26,18 +26,18 @@
     /// What it uses; `None` for the base model itself.
     pub(crate) adapter: Option<AdapterRef>,
     /// Prompt tokens not read yet.
-    pub(crate) unread: u64,
+    pub(crate) unread_tokens: u64,
     /// Prompt tokens to be read before its first event, its own included.
-    pub(crate) ahead: u64,
+    pub(crate) queued_tokens: u64,
     /// When the holder bound it; 0 if only its daemon told of it.
-    pub(crate) bound: u64,
+    pub(crate) bound_at_ms: u64,
 }
 
 impl Run {
     /// What it is on its engine's table.
     pub(crate) fn work(&self) -> Work {
         Work {
-            prefill: self.unread,
+            prefill: self.unread_tokens,
             waiting: 0,
             running: 1,
         }
@@ -51,11 +51,11 @@
             adapter: self
                 .adapter
                 .as_ref()
-                .map(key_of)
+                .map(adapter_key)
                 .as_deref()
                 .unwrap_or("")
                 .into(),
-            unread: self.unread,
+            unread: self.unread_tokens,
         }
     }
 }
@@ -73,7 +73,7 @@
     pub(super) fn read(&mut self, id: u64) -> Option<Run> {
         let run = self.0.get_mut(&id)?;
         let before = run.clone();
-        run.unread = 0;
+        run.unread_tokens = 0;
         Some(before)
     }
 
@@ -93,7 +93,7 @@
             let before = known.remove(&run.id);
             self.0.insert(run.id, from_wire(run, before.as_ref()));
         }
-        known.retain(|_, r| r.bound > 0 && now.saturating_sub(r.bound) < UNTOLD_MS);
+        known.retain(|_, r| r.bound_at_ms > 0 && now.saturating_sub(r.bound_at_ms) < UNTOLD_MS);
         self.0.extend(known);
     }
 
@@ -115,14 +115,14 @@
 }
 
 fn from_wire(run: &EngineRun, before: Option<&Run>) -> Run {
-    let adapter = parse_key(&run.adapter).filter(|a| a.adapter.is_some());
+    let adapter = parse_adapter_key(&run.adapter).filter(|a| a.adapter.is_some());
     Run {
         target: run.target.as_str().into(),
         group: before.map_or("".into(), |b| b.group.clone()),
         adapter,
-        unread: run.unread,
-        ahead: before.map_or(0, |b| b.ahead),
-        bound: before.map_or(0, |b| b.bound),
+        unread_tokens: run.unread,
+        queued_tokens: before.map_or(0, |b| b.queued_tokens),
+        bound_at_ms: before.map_or(0, |b| b.bound_at_ms),
     }
 }
 
--- a/crates/comfreyhall-node/src/fleet/runs/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/runs/tests.rs
@@ -15,9 +15,9 @@
         target: target.into(),
         group: "d".into(),
         adapter: Some(adapter()),
-        unread: 100,
-        ahead: 300,
-        bound,
+        unread_tokens: 100,
+        queued_tokens: 300,
+        bound_at_ms: bound,
     }
 }
 
@@ -52,7 +52,7 @@
     runs.begin(1, run("t", 1_000));
     runs.replace(&[told(1, "t", 0)], 5_000);
     let read = runs.read(1).unwrap();
-    assert_eq!((read.unread, read.ahead), (0, 300));
+    assert_eq!((read.unread_tokens, read.queued_tokens), (0, 300));
     assert_eq!(
         runs.uses().collect::<Vec<_>>(),
         [(&Name::from("t"), &adapter())]
@@ -66,7 +66,7 @@
 fn read_leaves_no_prompt() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    assert_eq!(runs.read(1).map(|r| r.unread), Some(100));
+    assert_eq!(runs.read(1).map(|r| r.unread_tokens), Some(100));
     let works = runs.works();
     let work = works.get("t").unwrap();
     assert_eq!((work.prefill, work.running), (0, 1));
--- a/crates/comfreyhall-node/src/fleet/swap.rs
+++ b/crates/comfreyhall-node/src/fleet/swap.rs
@@ -57,7 +57,7 @@
         p.seed || now.saturating_sub(last) < FORGET_MS
     });
     let holding = node.leases.holds_any(node.settings().bounds.fencing);
-    let out = if hub::large(state.peers.len()) {
+    let out = if hub::is_large(state.peers.len()) {
         state.due_large(holding, now)
     } else {
         state.due_small(me, now)
@@ -126,7 +126,7 @@
     let now = node.now();
     let addrs: Vec<Name> = {
         let state = node.fleet.state();
-        let large = hub::large(state.peers.len());
+        let large = hub::is_large(state.peers.len());
         let heard = state.alive(now).filter(|(_, p)| !large || p.holds());
         heard.map(|(a, _)| a.clone()).collect()
     };
@@ -142,7 +142,7 @@
 /// know of no holder and place no adapter there. In a small fleet the next
 /// period tells everyone.
 pub(crate) async fn announce(node: Arc<Node>) {
-    let large = hub::large(node.fleet.state().peers.len());
+    let large = hub::is_large(node.fleet.state().peers.len());
     if large {
         tell_all(&node).await;
     }
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -45,7 +45,7 @@
 async fn learn_call_renews_no_roster() {
     let node = node();
     for port in 200..220 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let off = daemon(200);
     let named = |node: &Node| node.addresses().0.iter().any(|a| **a == *off.front);
@@ -72,9 +72,9 @@
 async fn news_for_answer_bears_no_known_roster() {
     let node = node();
     let peer = daemon(100).peer;
-    node.fleet.meet(&peer, false);
+    node.fleet.add_peer(&peer, false);
     for port in 200..220 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let roster = vec![daemon(100)];
     node.fleet
@@ -128,7 +128,7 @@
 async fn own_news_behind_is_cut_off() {
     let node = node();
     let peer = daemon(100);
-    node.fleet.meet(&peer.peer, false);
+    node.fleet.add_peer(&peer.peer, false);
     let newer = News {
         settings_version: 9,
         ..news(0, Vec::new())
@@ -214,7 +214,7 @@
 async fn learn_work_counts_until_next_report() {
     let node = node();
     for port in 1_000..1_194 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let run = EngineRun {
         id: 7,
@@ -262,7 +262,7 @@
     assert!(!node.fleet.better("d", "127.0.0.1:202"));
     // In a large fleet a daemon with little processor is no better place.
     for port in 300..320 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     assert!(node.fleet.better("e", "127.0.0.1:200"), "both are weak");
 }
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -6,7 +6,7 @@
 use comfreyhall_domain::{AdapterRef, Name, Target};
 
 use crate::{
-    fleet::{Event, Run, What},
+    fleet::{Run, RunChange, RunUpdate},
     node::Node,
 };
 
@@ -75,19 +75,19 @@
         }
     }
 
-    fn tell(&self, what: What) {
-        self.node.fleet.tell(Event {
+    fn tell(&self, what: RunChange) {
+        self.node.fleet.tell(RunUpdate {
             run: self.run,
             target: self.target.id.clone(),
             group: self.target.domain.clone(),
-            what,
+            change: what,
         });
     }
 }
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.tell(What::Ended);
+        self.tell(RunChange::Ended);
     }
 }
 
@@ -126,11 +126,11 @@
                 target: target.id.clone(),
                 group: target.domain.clone(),
                 adapter: adapter.filter(|a| a.adapter.is_some()),
-                unread: tokens,
-                ahead,
-                bound: 0,
+                unread_tokens: tokens,
+                queued_tokens: ahead,
+                bound_at_ms: 0,
             };
-            node.fleet.begin(seat.run, run);
+            node.fleet.start_run(seat.run, run);
         }
         Self {
             node: node.clone(),
@@ -156,8 +156,8 @@
         drop(view);
         self.unread = 0;
         if let Some(seat) = &self.seat {
-            self.node.fleet.read(seat.run);
-            seat.tell(What::First(waited));
+            self.node.fleet.mark_prompt_read(seat.run);
+            seat.tell(RunChange::FirstEvent(waited));
         }
         waited
     }
@@ -180,9 +180,9 @@
         self.node.view().board.note(&self.target, ok, weight, now);
         if let Some(seat) = &self.seat {
             seat.tell(if ok {
-                What::Good(weight)
+                RunChange::Success(weight)
             } else {
-                What::Bad(weight)
+                RunChange::Failure(weight)
             });
         }
     }
@@ -195,7 +195,7 @@
         view.board.end(&self.target);
         drop(view);
         if let Some(seat) = &self.seat {
-            self.node.fleet.end(seat.run);
+            self.node.fleet.end_run(seat.run);
         }
     }
 }
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -13,7 +13,7 @@
 
 use super::Job;
 use crate::{
-    fleet::parse_key,
+    fleet::parse_adapter_key,
     node::{Node, View},
     outbound::Shut,
 };
@@ -77,7 +77,7 @@
         if needed < 2 {
             continue;
         }
-        let Some(adapter) = parse_key(&key).filter(|a| a.adapter.is_some()) else {
+        let Some(adapter) = parse_adapter_key(&key).filter(|a| a.adapter.is_some()) else {
             continue;
         };
         let held = view.residency.copies(&adapter);
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -6,7 +6,7 @@
 
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
 use crate::{
-    fleet::key_of,
+    fleet::adapter_key,
     node::Named,
     ports::{Action, OrderReply},
 };
@@ -60,7 +60,7 @@
         if now.saturating_sub(coming.ordered) > STUCK_MS
             && let Some(coming) = self.take_coming(adapter)
         {
-            log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "load is stuck");
+            log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "load is stuck");
             finish(coming.done, Err("the load is stuck".into()));
             self.synced = false;
         }
@@ -89,9 +89,9 @@
         drop(view);
         self.node
             .fleet
-            .placed(&self.target.id, adapter, Some(version));
+            .record_placement(&self.target.id, adapter, Some(version));
         self.node.metrics.load(coming.recent);
-        log::info!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
+        log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
         finish(coming.done, Ok(self.placed(version)));
     }
 
@@ -115,7 +115,7 @@
         });
         let outdated: Vec<(AdapterRef, u64, f64)> = {
             let view = self.node.view();
-            let score = |a: &AdapterRef| view.demand.score(&key_of(a), now);
+            let score = |a: &AdapterRef| view.demand.score(&adapter_key(a), now);
             outdated
                 .map(|(a, named)| (a.clone(), named.version, score(&a)))
                 .collect()
@@ -124,7 +124,7 @@
             if !self.synced || !self.unload(&adapter).await {
                 return;
             }
-            log::info!(target: "keeper", id:% = self.target.id, adapter:% = key_of(&adapter), version, score; "outdated adapter dropped");
+            log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(&adapter), version, score; "outdated adapter dropped");
             if score >= RENEW_SCORE {
                 self.queue.push(Job::ahead(adapter, version, now));
             }
@@ -294,7 +294,7 @@
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
         let occupants: Vec<Occupant<AdapterRef>> = unused
             .map(|(adapter, hold)| Occupant {
-                score: view.demand.score(&key_of(adapter), now),
+                score: view.demand.score(&adapter_key(adapter), now),
                 copies: view.residency.copies(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since),
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -7,7 +7,7 @@
 
 use super::{IDLE_MS, Keeper, SETTLE};
 use crate::{
-    fleet::key_of,
+    fleet::adapter_key,
     leases, outbound,
     ports::{Action, Order, OrderReply},
 };
@@ -49,7 +49,7 @@
             token,
         };
         let reply = self.give(order).await;
-        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
+        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
         self.node.metrics.order(reply.name());
         match &reply {
             // A load that is on its way already is accepted again without
@@ -73,7 +73,7 @@
                 view.dead.insert(self.target.id.clone(), until);
             }
             OrderReply::Invalid => {
-                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "order refused as invalid");
+                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "order refused as invalid");
             }
         }
         reply
@@ -107,7 +107,9 @@
         view.residency
             .note(adapter, &self.target.id, Standing::Absent, now);
         drop(view);
-        self.node.fleet.placed(&self.target.id, adapter, None);
+        self.node
+            .fleet
+            .record_placement(&self.target.id, adapter, None);
         true
     }
 
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -107,11 +107,11 @@
     let now = node.now();
     for row in found {
         let addr = row.key.strip_prefix(PREFIX).unwrap_or_default();
-        if node.fleet.lost(addr, now) && node.fleet.first(now) {
+        if node.fleet.is_lost(addr, now) && node.fleet.has_lowest_addr(now) {
             log::info!(target: "members", addr; "row of a lost daemon dropped");
             rows.commit(Vec::new(), vec![delete(&row.key)]).await?;
         } else {
-            node.fleet.meet(addr, false);
+            node.fleet.add_peer(addr, false);
         }
     }
     node.fleet.listed();
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -29,7 +29,7 @@
 use crate::{
     caps::Credit,
     choose::{self, Need, Plan, Wish},
-    fleet::key_of,
+    fleet::adapter_key,
     node::{Node, Tracked},
     quarantine::Trial,
     stop,
@@ -240,7 +240,7 @@
 
     /// `model/adapter`, for the log.
     pub(crate) fn adapter(&self) -> Name {
-        self.ask.adapter.as_ref().map_or("".into(), key_of)
+        self.ask.adapter.as_ref().map_or("".into(), adapter_key)
     }
 
     pub(crate) fn left(&self) -> u64 {
@@ -375,13 +375,13 @@
         });
         budget.request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
-            let key = key_of(adapter);
+            let key = adapter_key(adapter);
             view.wanted(&key, 1, now);
             if let Some(tokens) = self.ask.tokens {
                 view.prompt(tokens.prompt);
             }
             drop(view);
-            self.node.fleet.demand(&key);
+            self.node.fleet.record_demand(&key);
         }
     }
 
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -9,7 +9,7 @@
 use crate::{
     bind::{self, Bind, Bound, Unbound},
     choose::Plan,
-    fleet::key_of,
+    fleet::adapter_key,
     flight::Seat,
 };
 
@@ -46,7 +46,7 @@
             return Found::Engine;
         }
         let began = self.node.now();
-        let run = self.node.fleet.next_run();
+        let run = self.node.fleet.next_run_id();
         let mut found = bind::bind(&self.node, self.wanted(plan, run, plan.loads)).await;
         if found == Err(Unbound::MustWait) {
             found = bind::bind(&self.node, self.wanted(plan, run, true)).await;
@@ -131,7 +131,7 @@
     }
 
     async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = key_of(adapter), why:%; "no engine found");
+        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
         self.close_group(&plan.target.domain);
         if let Unbound::Unplaced { gone, .. } = why {
             let until = self.node.now() + UNREACHED_MS;
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -144,7 +144,7 @@
     /// own if it goes there unasked; none at a target that is no engine.
     fn seat(&self, plan: &mut Plan) -> Option<Seat> {
         let own = || {
-            let run = self.node.fleet.next_run();
+            let run = self.node.fleet.next_run_id();
             Seat::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
