--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 
 pub(crate) use self::{
-    settle::{spawn, tell_home},
+    settle::{notify_coordinator, spawn},
     wire::answer,
 };
 use crate::{clock, leases, node::Node, outbound};
@@ -36,28 +36,28 @@
 
 /// What caps bound the use of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Of {
+pub(crate) enum QuotaKind {
     /// Workspaces, as configured.
     Workspaces,
     /// Targets, as they say themselves.
     Targets,
 }
 
-impl Of {
+impl QuotaKind {
     /// Longest that a request waits for the answer of a home, in ms: it takes
     /// some ms, and some tens on a busy core. A request that gets no credit of
     /// one target has others to go to.
     fn answer_ms(self) -> u64 {
         match self {
-            Of::Workspaces => 250,
-            Of::Targets => 100,
+            QuotaKind::Workspaces => 250,
+            QuotaKind::Targets => 100,
         }
     }
 }
 
 /// Caps of one kind as this daemon keeps them.
-pub(crate) struct Caps {
-    of: Of,
+pub(crate) struct Quotas {
+    of: QuotaKind,
     state: Mutex<State>,
     /// Told when a home has answered.
     settled: Notify,
@@ -75,21 +75,21 @@
 
 /// Why a request gets no credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum QuotaError {
     /// Its workspace is over its cap.
-    Over {
+    Exceeded {
         /// Until there is room for it, in ms.
         retry_ms: u64,
     },
     /// Nobody in hearing knows how much the others use.
-    Unsure {
+    Unknown {
         /// Until that may be known, in ms.
         retry_ms: u64,
     },
 }
 
-impl Caps {
-    pub(crate) fn new(of: Of) -> Self {
+impl Quotas {
+    pub(crate) fn new(of: QuotaKind) -> Self {
         Self {
             of,
             state: Mutex::default(),
@@ -105,33 +105,33 @@
     pub(crate) fn in_use(&self) -> bool {
         let state = self.state();
         match self.of {
-            Of::Workspaces => state.meter.is_some(),
-            Of::Targets => !state.limits.is_empty(),
+            QuotaKind::Workspaces => state.meter.is_some(),
+            QuotaKind::Targets => !state.limits.is_empty(),
         }
     }
 
     /// Sees that the meter has the caps of `config`.
-    pub(crate) fn catch_up(&self, node: &Node, config: &Config) {
+    pub(crate) fn sync_config(&self, node: &Node, config: &Config) {
         if self.state().version != config.version {
             refresh(node, self.of);
         }
     }
 
     /// Ms until asking for a unit of `name` is of use.
-    pub(crate) fn closed_ms(&self, name: &str, now: u64) -> u64 {
+    pub(crate) fn unavailable_ms(&self, name: &str, now: u64) -> u64 {
         let state = self.state();
         let meter = state.meter.as_ref();
         meter.map_or(0, |m| m.closed_ms(name, 1, now))
     }
 
     /// Whether more of `name` could be used than is, as far as is known here.
-    pub(crate) fn spare(&self, name: &str, now: u64) -> bool {
+    pub(crate) fn has_spare(&self, name: &str, now: u64) -> bool {
         let state = self.state();
         state.meter.as_ref().is_some_and(|m| m.spare(name, now))
     }
 
     /// Takes a unit of `name` if it is to be had here and now.
-    pub(crate) fn take_here(&self, name: &str, now: u64) -> bool {
+    pub(crate) fn take_local(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
         let taken = state.meter.as_mut().map(|m| m.take(name, 1, now));
         taken == Some(Taken::Granted)
@@ -155,10 +155,10 @@
 }
 
 /// Gives the meter the caps in force, if it has others.
-pub(crate) fn refresh(node: &Node, of: Of) {
+pub(crate) fn refresh(node: &Node, of: QuotaKind) {
     match of {
-        Of::Workspaces => refresh_workspaces(node),
-        Of::Targets => refresh_targets(node),
+        QuotaKind::Workspaces => refresh_workspaces(node),
+        QuotaKind::Targets => refresh_targets(node),
     }
 }
 
@@ -180,7 +180,7 @@
     meter.keep(limits.clone(), &groups, now);
     state.limits = limits;
     state.groups = groups;
-    meet(node, Of::Targets, &mut state);
+    meet(node, QuotaKind::Targets, &mut state);
 }
 
 fn refresh_workspaces(node: &Node) {
@@ -201,11 +201,11 @@
     meter.configure(workspaces, &groups, now);
     state.version = config.version;
     state.groups = groups;
-    meet(node, Of::Workspaces, &mut state);
+    meet(node, QuotaKind::Workspaces, &mut state);
 }
 
 /// Tells the meter who is there.
-fn meet(node: &Node, of: Of, state: &mut State) {
+fn meet(node: &Node, of: QuotaKind, state: &mut State) {
     let met = settle::homes(node, of, &state.groups);
     if let Some(meter) = &mut state.meter {
         meter.meet(&met.homes, met.fleet, node.now());
@@ -237,10 +237,10 @@
 /// Takes credit of `size` units of `name` for a request.
 pub(crate) async fn reserve(
     node: &Arc<Node>,
-    of: Of,
+    of: QuotaKind,
     name: &Name,
     size: u64,
-) -> Result<Credit, Refused> {
+) -> Result<Credit, QuotaError> {
     let caps = node.caps_of(of);
     let began = node.now();
     if let Some(meter) = &mut caps.state().meter {
@@ -257,24 +257,24 @@
         };
         match taken {
             Taken::Granted => return Ok(Credit::new(node, of, name, size)),
-            Taken::Over { retry_ms } => return Err(Refused::Over { retry_ms }),
+            Taken::Over { retry_ms } => return Err(QuotaError::Exceeded { retry_ms }),
             Taken::Ask(call) => {
                 if !answered(node, of, name, call, until).await {
-                    return Err(Refused::Unsure { retry_ms: LOOK_MS });
+                    return Err(QuotaError::Unknown { retry_ms: LOOK_MS });
                 }
             }
             Taken::Unsure { retry_ms } if now + retry_ms <= until && now < until => {
                 let pause = LOOK_MS.min(until - now);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
-            Taken::Unsure { retry_ms } => return Err(Refused::Unsure { retry_ms }),
+            Taken::Unsure { retry_ms } => return Err(QuotaError::Unknown { retry_ms }),
         }
     }
 }
 
 /// Waits until the home of `name` has answered `call`, at most until `until`;
 /// false if it has not.
-async fn answered(node: &Arc<Node>, of: Of, name: &str, call: u64, until: u64) -> bool {
+async fn answered(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
     let caps = node.caps_of(of);
     loop {
         let settled = caps.settled.notified();
@@ -301,7 +301,7 @@
 /// Credit of one request; what was not sent goes back when it is dropped.
 pub(crate) struct Credit {
     node: Arc<Node>,
-    of: Of,
+    of: QuotaKind,
     name: Name,
     size: u64,
     sent: bool,
@@ -310,10 +310,10 @@
 impl Credit {
     /// Credit that was granted elsewhere for this request.
     pub(crate) fn granted(node: &Arc<Node>, target: &Name) -> Self {
-        Self::new(node, Of::Targets, target, 1)
+        Self::new(node, QuotaKind::Targets, target, 1)
     }
 
-    fn new(node: &Arc<Node>, of: Of, name: &Name, size: u64) -> Self {
+    fn new(node: &Arc<Node>, of: QuotaKind, name: &Name, size: u64) -> Self {
         Self {
             node: node.clone(),
             of,
@@ -324,14 +324,14 @@
     }
 
     /// The request is about to be sent. Its own repeats cost no more.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         if !std::mem::replace(&mut self.sent, true) {
             self.with(|meter, name, size| meter.sent(name, size));
         }
     }
 
     /// The request has surely not run and is not sent any more.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn refund(mut self) {
         if std::mem::replace(&mut self.sent, false) {
             self.with(|meter, name, size| meter.not_run(name, size));
             self.size = 0;
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -5,7 +5,7 @@
 use comfreyhall_domain::{Map, Name};
 use comfreyhall_workspace::{Call, Fleet, Home};
 
-use super::{Caps, Of, me, refresh, wire};
+use super::{QuotaKind, Quotas, me, refresh, wire};
 use crate::{leases, node::Node, outbound};
 
 /// Pause between looks at which homes are due.
@@ -24,7 +24,7 @@
     tokio::spawn(async move {
         loop {
             outbound::sweep(&node);
-            for of in [Of::Workspaces, Of::Targets] {
+            for of in [QuotaKind::Workspaces, QuotaKind::Targets] {
                 refresh(&node, of);
                 let caps = node.caps_of(of);
                 if caps.in_use() {
@@ -46,7 +46,7 @@
     pub(super) fleet: Fleet,
 }
 
-fn meet(node: &Node, caps: &Caps) {
+fn meet(node: &Node, caps: &Quotas) {
     let groups = caps.state().groups.clone();
     let met = homes(node, caps.of, &groups);
     let now = node.now();
@@ -60,12 +60,12 @@
 ///
 /// Limits of targets rest on there being one home at a time, so where there are
 /// leases nobody stands in for their holders.
-pub(super) fn homes(node: &Node, of: Of, groups: &[Name]) -> Met {
+pub(super) fn homes(node: &Node, of: QuotaKind, groups: &[Name]) -> Met {
     let now = node.now();
-    let stands_in = of == Of::Workspaces || leases::groups(node).is_empty();
+    let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.first_for(group, now) {
         Some(peer) => Some(peer),
-        None => (of == Of::Targets).then(|| node.fleet.peer_addr().into()),
+        None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
     let home = |group: &Name| match node.token(group) {
         Some(_) => Some(me(node)),
@@ -94,7 +94,7 @@
 }
 
 /// Calls the homes that are due.
-pub(super) fn settle_due(node: &Arc<Node>, of: Of) {
+pub(super) fn settle_due(node: &Arc<Node>, of: QuotaKind) {
     let now = node.now();
     let calls: Vec<(Name, Home, Call)> = {
         let mut state = node.caps_of(of).state();
@@ -114,7 +114,7 @@
 }
 
 /// Calls the home of `group`, whether or not it is due.
-pub(crate) fn tell_home(node: &Arc<Node>, of: Of, group: Name) {
+pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
     let now = node.now();
     let mut met = homes(node, of, std::slice::from_ref(&group));
     let Some(home) = met.homes.remove(&group).filter(|h| *h != me(node)) else {
@@ -130,7 +130,7 @@
     tokio::spawn(settle(node.clone(), of, group, home, call));
 }
 
-async fn settle(node: Arc<Node>, of: Of, group: Name, home: Home, call: Call) {
+async fn settle(node: Arc<Node>, of: QuotaKind, group: Name, home: Home, call: Call) {
     let reply = match node.fleet.client(&home.peer) {
         Some(mut client) => {
             let answer = client.settle(wire::call(&node, of, &call));
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -5,19 +5,19 @@
 use comfreyhall_protocol::{CapCall, CapLine, CapReply, CapSettled, CapsOf};
 use comfreyhall_workspace::{Call, Line, Reply, Settled};
 
-use super::Of;
+use super::QuotaKind;
 use crate::{node::Node, outbound};
 
-fn of_wire(of: CapsOf) -> Of {
+fn of_wire(of: CapsOf) -> QuotaKind {
     match of {
-        CapsOf::Workspaces => Of::Workspaces,
-        CapsOf::Targets => Of::Targets,
+        CapsOf::Workspaces => QuotaKind::Workspaces,
+        CapsOf::Targets => QuotaKind::Targets,
     }
 }
 
 /// A call about caps `of` workspaces or targets. One about targets bears what
 /// they told this daemon.
-pub(super) fn call(node: &Node, of: Of, call: &Call) -> CapCall {
+pub(super) fn call(node: &Node, of: QuotaKind, call: &Call) -> CapCall {
     let lines = call.lines.iter().map(|l| CapLine {
         workspace: l.workspace.clone(),
         held: l.held,
@@ -38,13 +38,13 @@
         term_ms: call.term_ms,
         lines: lines.collect(),
         of: match of {
-            Of::Workspaces => CapsOf::Workspaces,
-            Of::Targets => CapsOf::Targets,
+            QuotaKind::Workspaces => CapsOf::Workspaces,
+            QuotaKind::Targets => CapsOf::Targets,
         }
         .into(),
         words: match of {
-            Of::Workspaces => Vec::new(),
-            Of::Targets => outbound::own_words(node, &call.group),
+            QuotaKind::Workspaces => Vec::new(),
+            QuotaKind::Targets => outbound::own_words(node, &call.group),
         },
     }
 }
@@ -77,7 +77,7 @@
     if told.is_finite() { told.max(0.0) } else { 0.0 }
 }
 
-fn reply(node: &Node, of: Of, group: &str, reply: Reply) -> CapReply {
+fn reply(node: &Node, of: QuotaKind, group: &str, reply: Reply) -> CapReply {
     let lines = reply.lines.into_iter().map(|l| CapSettled {
         workspace: l.workspace,
         grant: l.grant,
@@ -91,8 +91,8 @@
         part: reply.part,
         lines: lines.collect(),
         words: match of {
-            Of::Workspaces => Vec::new(),
-            Of::Targets => outbound::words(node, group),
+            QuotaKind::Workspaces => Vec::new(),
+            QuotaKind::Targets => outbound::words(node, group),
         },
     }
 }
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    caps::{Caps, Of},
+    caps::{QuotaKind, Quotas},
     clock,
     facts::Book,
     fleet::Fleet,
@@ -26,7 +26,7 @@
     metrics::Metrics,
     outbound::Outbound,
     ports::{Backend, Source},
-    quarantine::Watch,
+    quarantine::QuarantineTracker,
 };
 
 /// Half-life of the wish for an adapter, in ms: popularity in the
@@ -195,10 +195,10 @@
     pub(crate) fleet: Fleet,
     pub(crate) keepers: EngineControllers,
     pub(crate) metrics: Metrics,
-    pub(crate) quarantine: Watch,
-    pub(crate) caps: Caps,
+    pub(crate) quarantine: QuarantineTracker,
+    pub(crate) caps: Quotas,
     /// Limits of targets.
-    pub(crate) limits: Caps,
+    pub(crate) limits: Quotas,
     pub(crate) flood: Flood,
     pub(crate) outbound: Outbound,
     /// Wakes duties that act on changed settings or targets.
@@ -231,9 +231,9 @@
             leases: Leases::default(),
             keepers: EngineControllers::default(),
             metrics: Metrics::new(),
-            quarantine: Watch::default(),
-            caps: Caps::new(Of::Workspaces),
-            limits: Caps::new(Of::Targets),
+            quarantine: QuarantineTracker::default(),
+            caps: Quotas::new(QuotaKind::Workspaces),
+            limits: Quotas::new(QuotaKind::Targets),
             flood: Flood::default(),
             outbound: Outbound::default(),
             changed: Notify::new(),
@@ -263,10 +263,10 @@
     }
 
     /// The caps of one kind.
-    pub(crate) fn caps_of(&self, of: Of) -> &Caps {
+    pub(crate) fn caps_of(&self, of: QuotaKind) -> &Quotas {
         match of {
-            Of::Workspaces => &self.caps,
-            Of::Targets => &self.limits,
+            QuotaKind::Workspaces => &self.caps,
+            QuotaKind::Targets => &self.limits,
         }
     }
 
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -14,7 +14,7 @@
 
 use super::{log, shut::closed};
 use crate::{
-    caps::{self, Credit, Of, Refused},
+    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -52,7 +52,10 @@
 }
 
 /// Takes a part of the limit of `target`, if it has one.
-pub(super) async fn reserve(node: &Arc<Node>, target: &Target) -> Result<Option<Credit>, Refused> {
+pub(super) async fn reserve(
+    node: &Arc<Node>,
+    target: &Target,
+) -> Result<Option<Credit>, QuotaError> {
     if node
         .outbound
         .gates()
@@ -61,7 +64,7 @@
     {
         return Ok(None);
     }
-    let credit = caps::reserve(node, Of::Targets, &target.id, 1).await;
+    let credit = caps::reserve(node, QuotaKind::Targets, &target.id, 1).await;
     credit.map(Some)
 }
 
@@ -74,7 +77,7 @@
     }
     match node.outbound.gates().limit(target, now) {
         None => Some(false),
-        Some(_) => node.limits.take_here(target, now).then_some(true),
+        Some(_) => node.limits.take_local(target, now).then_some(true),
     }
 }
 
@@ -82,7 +85,7 @@
 pub(super) fn announce(node: &Arc<Node>, target: &Name) {
     let groups = caps::groups(node);
     if let Some(group) = group_of(node, target, &groups) {
-        caps::tell_home(node, Of::Targets, group);
+        caps::notify_coordinator(node, QuotaKind::Targets, group);
     }
 }
 
@@ -174,6 +177,6 @@
         }
     }
     if changed {
-        caps::refresh(node, Of::Targets);
+        caps::refresh(node, QuotaKind::Targets);
     }
 }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -25,7 +25,7 @@
     shut::{Closed, Shut, closed, leaves, why_shut},
 };
 use crate::{
-    caps::{self, Credit, Of, Refused},
+    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
     ports::{Extra, Heard, NoReport, Order, OrderReply, Pulse, Report, Response, SendError},
 };
@@ -74,7 +74,7 @@
         let age = sent.map_or(0, |s| now - s);
         log::changed(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
-            caps::refresh(node, Of::Targets);
+            caps::refresh(node, QuotaKind::Targets);
             limits::announce(node, &target.id);
         }
     }
@@ -100,7 +100,7 @@
     /// Nothing reached the target after all.
     fn give_back(self) {
         if let Some(credit) = self.credit {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
@@ -120,7 +120,7 @@
         return Ok(Permit { credit });
     }
     let credit = limits::reserve(node, target).await.map_err(|refused| {
-        let (Refused::Over { retry_ms } | Refused::Unsure { retry_ms }) = refused;
+        let (QuotaError::Exceeded { retry_ms } | QuotaError::Unknown { retry_ms }) = refused;
         let why = "its limit is used up";
         Closed { why, retry_ms }
     })?;
@@ -142,7 +142,7 @@
     }
     // From here on it may arrive, also if nobody waits for it any more.
     if let Some(credit) = &mut permit.credit {
-        credit.sent();
+        credit.mark_sent();
     }
     let sent = node.now();
     let call = node.backend.send(target.clone(), ask, extra);
--- a/crates/comfreyhall-node/src/quarantine/confirm.rs
+++ b/crates/comfreyhall-node/src/quarantine/confirm.rs
@@ -11,7 +11,7 @@
 use comfreyhall_domain::Name;
 use comfreyhall_quarantine::Fingerprint;
 
-use super::{Node, Watch, doubted, settle};
+use super::{Node, QuarantineTracker, doubted, settle};
 use crate::{outbound, ports::Pulse};
 
 /// Pauses before each look at the target, in ms: a process that ended refuses
@@ -58,11 +58,11 @@
     false
 }
 
-impl Watch {
+impl QuarantineTracker {
     /// Waits for a while until it is known whether targets that closed
     /// connections of the suspect `fingerprint` have ended: it may be one too
     /// many.
-    pub(crate) async fn settled(&self, node: &Node, fingerprint: &Fingerprint) {
+    pub(crate) async fn await_verdict(&self, node: &Node, fingerprint: &Fingerprint) {
         let settled = async {
             loop {
                 let notified = self.settled.notified();
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -31,7 +31,7 @@
 
 /// What this daemon knows of requests that end targets.
 #[derive(Default)]
-pub(crate) struct Watch {
+pub(crate) struct QuarantineTracker {
     state: Mutex<State>,
     /// Wakes the duty that tells the other daemons.
     found: Notify,
@@ -61,16 +61,16 @@
 
 /// When the caller of a request that is being tried is told to come back, in
 /// ms: its fate is known to everyone by then.
-pub(crate) const TRIED_MS: u64 = 5_000;
+pub(crate) const TRIAL_RETRY_MS: u64 = 5_000;
 
 /// Whether a request may be sent now.
 pub(crate) enum Admission {
     /// Like any other.
-    Free,
+    Allowed,
     /// Once, to see whether it is to blame.
     Trial(Trial),
     /// Not; its caller may come back after so many ms.
-    Held(u64),
+    Quarantined(u64),
 }
 
 /// A trial of a request that is held back; nobody else here makes one while
@@ -87,7 +87,7 @@
     }
 }
 
-impl Watch {
+impl QuarantineTracker {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no holder of this lock panics")
     }
@@ -99,12 +99,12 @@
     }
 
     /// Whether a target ended under `fingerprint`.
-    pub(crate) fn suspects(&self, fingerprint: &Fingerprint) -> bool {
+    pub(crate) fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
         self.state().known.suspects(fingerprint)
     }
 
     /// The targets that ended under `fingerprint`, for the log.
-    pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
+    pub(crate) fn describe_ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
         log::ends(self.state().known.ends(fingerprint), now)
     }
 }
@@ -112,26 +112,31 @@
 /// Whether `fingerprint` may be sent by this daemon now.
 pub(crate) fn admit(node: &Arc<Node>, fingerprint: Fingerprint) -> Admission {
     if !node.quarantine.state().known.holds(&fingerprint) {
-        return Admission::Free;
+        return Admission::Allowed;
     }
     let now = node.now();
     let rank = node.fleet.rank(&fingerprint.to_string(), now);
     let mut state = node.quarantine.state();
     match state.known.status(&fingerprint, rank, now) {
-        Status::Free => Admission::Free,
-        Status::Held { retry_ms } => Admission::Held(retry_ms),
+        Status::Free => Admission::Allowed,
+        Status::Held { retry_ms } => Admission::Quarantined(retry_ms),
         Status::Trial if state.trials.insert(fingerprint) => {
             drop(state);
             let node = node.clone();
             Admission::Trial(Trial { node, fingerprint })
         }
-        Status::Trial => Admission::Held(TRIED_MS),
+        Status::Trial => Admission::Quarantined(TRIAL_RETRY_MS),
     }
 }
 
 /// The target closed the connection of a run of `fingerprint`; `early`: it had
 /// just begun to run it, as far as is known.
-pub(crate) fn broke(node: &Arc<Node>, target: &Name, fingerprint: Fingerprint, early: bool) {
+pub(crate) fn connection_closed(
+    node: &Arc<Node>,
+    target: &Name,
+    fingerprint: Fingerprint,
+    early: bool,
+) {
     if !stays(node, target) {
         return;
     }
@@ -166,8 +171,8 @@
 }
 
 /// A target ran `fingerprint` to its end.
-pub(crate) fn ran_whole(node: &Arc<Node>, fingerprint: Fingerprint) {
-    if node.quarantine.suspects(&fingerprint) {
+pub(crate) fn run_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
+    if node.quarantine.is_suspect(&fingerprint) {
         found(node, fingerprint, Finding::RanWhole, node.now());
     }
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -5,7 +5,7 @@
 
 use super::{Job, NOT_READY_MS, Reply};
 use crate::{
-    caps::{self, Of, Refused},
+    caps::{self, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -124,7 +124,7 @@
             Allowance::Closed => {
                 return Some(self.refuse_credit(
                     0,
-                    Refused::Over {
+                    QuotaError::Exceeded {
                         retry_ms: CLOSED_MS,
                     },
                 ));
@@ -134,8 +134,8 @@
         let tokens = self.ask.tokens;
         let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.output));
         let size = cap.size(tokens);
-        self.node.caps.catch_up(&self.node, config);
-        match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
+        self.node.caps.sync_config(&self.node, config);
+        match caps::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
                 None
@@ -145,13 +145,13 @@
     }
 
     /// The final answer to a request without credit, at once.
-    fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
+    fn refuse_credit(&mut self, size: u64, why: QuotaError) -> Reply {
         self.ended = true;
         let now = self.node.now();
         let workspace = self.caller.workspace().map_or("", |w| &*w.name).to_string();
         let (reason, over, retry_ms) = match why {
-            Refused::Over { retry_ms } => ("over its cap", true, retry_ms),
-            Refused::Unsure { retry_ms } => ("its use is not known", false, retry_ms),
+            QuotaError::Exceeded { retry_ms } => ("over its cap", true, retry_ms),
+            QuotaError::Unknown { retry_ms } => ("its use is not known", false, retry_ms),
         };
         let retry_ms = self.retry_ms(retry_ms as f64);
         let answer = match over {
@@ -216,7 +216,7 @@
         if let Some(credit) = self.credit.take()
             && !self.verdict.doubt
         {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -35,13 +35,13 @@
     /// The target closed the connection of the run `flight`.
     pub(crate) fn broke(&self, flight: &Flight) {
         let target = &flight.target;
-        quarantine::broke(&self.node, target, self.fingerprint(), flight.early());
+        quarantine::connection_closed(&self.node, target, self.fingerprint(), flight.early());
     }
 
     /// A target ran it to its end.
     pub(crate) fn ran_whole(&self) {
         if !self.node.quarantine.is_empty() {
-            quarantine::ran_whole(&self.node, self.fingerprint());
+            quarantine::run_completed(&self.node, self.fingerprint());
         }
     }
 
@@ -54,17 +54,20 @@
             return None;
         }
         let fingerprint = self.fingerprint();
-        if self.node.quarantine.suspects(&fingerprint) {
-            self.node.quarantine.settled(&self.node, &fingerprint).await;
+        if self.node.quarantine.is_suspect(&fingerprint) {
+            self.node
+                .quarantine
+                .await_verdict(&self.node, &fingerprint)
+                .await;
         }
         if self.trial.is_some() {
             // A trial is one send.
             let sent = self.verdict.sends > 0;
-            return sent.then_some(quarantine::TRIED_MS);
+            return sent.then_some(quarantine::TRIAL_RETRY_MS);
         }
         match quarantine::admit(&self.node, fingerprint) {
-            Admission::Free => None,
-            Admission::Held(retry_ms) => Some(retry_ms),
+            Admission::Allowed => None,
+            Admission::Quarantined(retry_ms) => Some(retry_ms),
             Admission::Trial(trial) => {
                 log::info!(target: "quarantine", id:% = self.ask.id, fingerprint:%; "request tried again");
                 self.trial = Some(trial);
@@ -85,7 +88,7 @@
         let (now, left, fingerprint) = (self.node.now(), self.left(), self.fingerprint());
         let held = now - self.began;
         let answer = answer_held(&self.verdict, retry_ms);
-        let evidence = self.node.quarantine.ends(&fingerprint, now);
+        let evidence = self.node.quarantine.describe_ends(&fingerprint, now);
         self.node.metrics.request(self.route.kind, answer.name());
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, why, answer:?, evidence, sends = self.verdict.sends, held, left; "given up");
         Reply::Unanswered(answer)
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -102,7 +102,7 @@
             last_event,
         };
         if let Some(credit) = &mut self.credit {
-            credit.sent();
+            credit.mark_sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
         let seat = self.seat(plan);
