--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -16,7 +16,7 @@
 
 /// Rows of one topic by key.
 #[derive(Debug, Default)]
-pub(crate) struct Shelf {
+pub(crate) struct TopicRows {
     pub(crate) rows: Map<Name, Fact>,
     /// Version at which each row last changed in what peers must know.
     pub(crate) news: Map<Name, u64>,
@@ -27,7 +27,7 @@
     pub(crate) as_of: u64,
 }
 
-impl Shelf {
+impl TopicRows {
     /// Ms since the store said what is known here; the most there is if it
     /// never did.
     pub(crate) fn age(&self, now: u64) -> u64 {
@@ -45,15 +45,15 @@
 
 /// The rows of all topics.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
-    pub(crate) settings: Shelf,
-    pub(crate) targets: Shelf,
+pub(crate) struct FactStore {
+    pub(crate) settings: TopicRows,
+    pub(crate) targets: TopicRows,
     /// How far the settings reach.
-    pub(crate) in_force: InForce,
+    pub(crate) settings_sync: InForce,
 }
 
-impl Book {
-    pub(crate) fn shelf(&mut self, topic: Topic) -> &mut Shelf {
+impl FactStore {
+    pub(crate) fn topic(&mut self, topic: Topic) -> &mut TopicRows {
         match topic {
             Topic::Settings => &mut self.settings,
             Topic::Targets => &mut self.targets,
@@ -80,20 +80,20 @@
 pub(crate) fn apply(node: &Node, topic: Topic, facts: Facts, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.book.topic(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.book.shelf(topic).rows.get(&fact.key);
+        let known = view.book.topic(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.book.in_force.take(fact.version, way, *asked, now);
+            view.book.settings_sync.take(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.book.shelf(topic);
+        let shelf = view.book.topic(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -135,7 +135,7 @@
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
             tell_in_force(node, view, &config, fact);
-            view.book.in_force.set_readable(true);
+            view.book.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
             view.ranks = Ranks::of(&config);
             view.config = Some(Arc::from(config));
@@ -184,7 +184,7 @@
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
-                view.book.in_force.set_readable(false);
+                view.book.settings_sync.set_readable(false);
             }
             log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
         }
@@ -194,13 +194,13 @@
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
 fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Fact) {
-    let Some(taken) = view.book.in_force.taken() else {
+    let Some(taken) = view.book.settings_sync.taken() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
     node.metrics.settings(taken.way.kind(), bytes, taken.waited);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.book.in_force.age(taken.at);
+    let age = view.book.settings_sync.age(taken.at);
     log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
 }
 
@@ -241,7 +241,7 @@
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Fact> = {
         let mut view = node.view();
-        let rows = view.book.shelf(Topic::Targets).rows.values();
+        let rows = view.book.topic(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
             .map(|f| Fact {
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -90,7 +90,7 @@
         self.node
             .fleet
             .record_placement(&self.target.id, adapter, Some(version));
-        self.node.metrics.load(coming.recent);
+        self.node.metrics.adapter_load(coming.recent);
         log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
         finish(coming.done, Ok(self.placed(version)));
     }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -50,7 +50,7 @@
         };
         let reply = self.give(order).await;
         log::debug!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
-        self.node.metrics.order(reply.name());
+        self.node.metrics.command(reply.name());
         match &reply {
             // A load that is on its way already is accepted again without
             // counting; dropping what is unused is done at once and counts.
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -329,7 +329,7 @@
     }
     let after = lease.token(clock::instant());
     if before != after {
-        node.metrics.lease(after.is_some());
+        node.metrics.lease_change(after.is_some());
         log::info!(target: "leases", group:% = group, before:? = before, token:? = after; "lease changed");
         node.changed.notify_waiters();
         if after.is_some() {
--- a/crates/comfreyhall-node/src/metrics.rs
+++ b/crates/comfreyhall-node/src/metrics.rs
@@ -106,7 +106,7 @@
     }
 
     /// A request of `workspace` was refused by its cap.
-    pub(crate) fn workspace(&self, workspace: &str, why: &'static str) {
+    pub(crate) fn workspace_refusal(&self, workspace: &str, why: &'static str) {
         let mut named = self.named.lock().expect("no holder of this lock panics");
         let known = named.contains(workspace);
         if !known && named.len() < MOST_WORKSPACES {
@@ -124,7 +124,7 @@
         self.sends.add(1, &[KeyValue::new("how", how)]);
     }
 
-    pub(crate) fn repeat(&self, granted: bool) {
+    pub(crate) fn retry(&self, granted: bool) {
         self.repeats.add(1, &[KeyValue::new("granted", granted)]);
     }
 
@@ -132,20 +132,20 @@
         self.refusals.add(1, &[KeyValue::new("why", why)]);
     }
 
-    pub(crate) fn load(&self, recent: bool) {
+    pub(crate) fn adapter_load(&self, recent: bool) {
         let from = if recent { "at_hand" } else { "store" };
         self.loads.add(1, &[KeyValue::new("from", from)]);
     }
 
-    pub(crate) fn order(&self, reply: &'static str) {
+    pub(crate) fn command(&self, reply: &'static str) {
         self.orders.add(1, &[KeyValue::new("reply", reply)]);
     }
 
-    pub(crate) fn lease(&self, gained: bool) {
+    pub(crate) fn lease_change(&self, gained: bool) {
         self.leases.add(1, &[KeyValue::new("gained", gained)]);
     }
 
-    pub(crate) fn store(&self, topic: &'static str, ok: bool) {
+    pub(crate) fn store_read(&self, topic: &'static str, ok: bool) {
         let labels = [KeyValue::new("topic", topic), KeyValue::new("ok", ok)];
         self.store.add(1, &labels);
     }
@@ -154,7 +154,7 @@
         self.quarantine.add(1, &[KeyValue::new("change", change)]);
     }
 
-    pub(crate) fn gate(&self, change: &'static str) {
+    pub(crate) fn target_notice(&self, change: &'static str) {
         self.gates.add(1, &[KeyValue::new("change", change)]);
     }
 
@@ -165,11 +165,11 @@
         self.settings.record(ms as f64 / 1_000.0, &labels);
     }
 
-    pub(crate) fn first(&self, ms: u64) {
+    pub(crate) fn first_event(&self, ms: u64) {
         self.first.record(ms as f64 / 1_000.0, &[]);
     }
 
-    pub(crate) fn stall(&self, ms: u64) {
+    pub(crate) fn load_stall(&self, ms: u64) {
         self.stall.record(ms as f64 / 1_000.0, &[]);
     }
 
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -18,7 +18,7 @@
 use crate::{
     caps::{QuotaKind, Quotas},
     clock,
-    facts::Book,
+    facts::FactStore,
     fleet::Fleet,
     flood::Flood,
     keeper::EngineControllers,
@@ -88,7 +88,7 @@
     pub(crate) prompt_tokens: f64,
     /// How long runs hold their places.
     pub(crate) hold: Hold,
-    pub(crate) book: Book,
+    pub(crate) book: FactStore,
 }
 
 impl Default for View {
@@ -111,7 +111,7 @@
             hot: Map::default(),
             prompt_tokens: FIRST_PROMPT,
             hold: Hold::default(),
-            book: Book::default(),
+            book: FactStore::default(),
         }
     }
 }
--- a/crates/comfreyhall-node/src/outbound/log.rs
+++ b/crates/comfreyhall-node/src/outbound/log.rs
@@ -21,23 +21,23 @@
         Change::Limited { limit, before } => {
             let (limit, before) = (limit.per_s(), before.map_or(0.0, |b| b.per_s()));
             log::info!(target: "outbound", id:% = target, limit, before, by, age; "target limited");
-            node.metrics.gate("limited");
+            node.metrics.target_notice("limited");
         }
         Change::Unlimited { after_ms } => {
             log::info!(target: "outbound", id:% = target, after = after_ms, by, age; "target no longer limited");
-            node.metrics.gate("unlimited");
+            node.metrics.target_notice("unlimited");
         }
         Change::Resting { rest_ms } => {
             log::info!(target: "outbound", id:% = target, rest = rest_ms, by, age; "target at rest");
-            node.metrics.gate("resting");
+            node.metrics.target_notice("resting");
         }
         Change::Rested => {
             log::info!(target: "outbound", id:% = target; "target no longer at rest");
-            node.metrics.gate("rested");
+            node.metrics.target_notice("rested");
         }
         Change::Leaving => {
             log::info!(target: "outbound", id:% = target, by, age; "target leaves");
-            node.metrics.gate("leaving");
+            node.metrics.target_notice("leaving");
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -82,7 +82,7 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().book.in_force.verdict(self.now(), bound);
+        let verdict = self.view().book.settings_sync.verdict(self.now(), bound);
         verdict == Verdict::Stale
     }
 
@@ -92,7 +92,7 @@
             return false;
         };
         let now = self.now();
-        self.view().book.in_force.age(now) > most
+        self.view().book.settings_sync.age(now) > most
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
@@ -108,7 +108,7 @@
         };
         self.metrics.refusal(refusal);
         if let Some(left_out) = self.flood.turned.take(self.now()) {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+            let basis = Basis::of(&self.view().book.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.row, from = basis.from, held = basis.held, age = basis.age, newer = basis.newer, away = basis.away; "turned away");
         }
         reply
@@ -159,7 +159,7 @@
             false => Answer::NotRun { retry_ms },
         };
         self.node.metrics.refusal(reason);
-        self.node.metrics.workspace(&workspace, reason);
+        self.node.metrics.workspace_refusal(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
         if let Some(left_out) = self.node.flood.capped.take(now) {
             let basis = self.node.caps.basis(&workspace, now);
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -155,7 +155,7 @@
     pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.life_known()) else {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+            let basis = Basis::of(&self.view().book.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.age(); "refused: nothing is known yet");
             return Reply::NotReady {
                 retry_ms: NOT_READY_MS,
@@ -393,7 +393,7 @@
         let budget = view.budgets.get_mut(&self.service);
         let granted = budget.is_some_and(|b| b.repeat(now, daemons));
         drop(view);
-        self.node.metrics.repeat(granted);
+        self.node.metrics.retry(granted);
         granted
     }
 
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -54,7 +54,7 @@
         let stall = self.node.now() - began;
         if plan.loads {
             self.stall += stall;
-            self.node.metrics.stall(stall);
+            self.node.metrics.load_stall(stall);
         }
         match found {
             Ok(bound) => self.bound(plan, &adapter, run, bound, stall),
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -257,7 +257,7 @@
                     view.prefixes.note(adapter, &self.ask.parts, target, now);
                 }
                 let job = self.take();
-                self.node.metrics.first(job.first);
+                self.node.metrics.first_event(job.first);
                 let body = relay.run(job);
                 Next::Reply(Reply::Events {
                     status,
