--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -120,7 +120,7 @@
         priority: u32::from(ask.priority),
         objective_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
         start_timeout: Duration::from_millis(limit.min(PLACE_MS)),
-        timeout: Duration::from_millis(limit),
+        total_timeout: Duration::from_millis(limit),
     };
     // Others count on the place that this request is about to hold.
     let waits = Stall::begin(node, &plan.target.id, &adapter, plan.tokens);
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -53,7 +53,7 @@
 }
 
 impl FactStore {
-    pub(crate) fn topic(&mut self, topic: Topic) -> &mut TopicRows {
+    pub(crate) fn topic_rows(&mut self, topic: Topic) -> &mut TopicRows {
         match topic {
             Topic::Settings => &mut self.settings,
             Topic::Targets => &mut self.targets,
@@ -80,11 +80,11 @@
 pub(crate) fn apply(node: &Node, topic: Topic, facts: Facts, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.book.topic(topic);
+    let shelf = view.book.topic_rows(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.book.topic(topic).rows.get(&fact.key);
+        let known = view.book.topic_rows(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
@@ -93,7 +93,7 @@
             view.book.settings_sync.take(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.book.topic(topic);
+        let shelf = view.book.topic_rows(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -241,7 +241,7 @@
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Fact> = {
         let mut view = node.view();
-        let rows = view.book.topic(Topic::Targets).rows.values();
+        let rows = view.book.topic_rows(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
             .map(|f| Fact {
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -98,7 +98,7 @@
             running: w.running,
         });
         let work = work.collect();
-        let targets = view.book.topic(Topic::Targets);
+        let targets = view.book.topic_rows(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
         let settings_age = view.book.settings_sync.age(now);
@@ -371,7 +371,7 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.topic(topic);
+    let shelf = view.book.topic_rows(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
     let newer = |fact: &&Fact| match topic {
         Topic::Settings => fact.version > version,
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -33,7 +33,7 @@
     /// How long to wait for a load to begin.
     pub(crate) start_timeout: Duration,
     /// How long to wait in all.
-    pub(crate) timeout: Duration,
+    pub(crate) total_timeout: Duration,
 }
 
 /// Has one of the engines kept here hold the adapter.
@@ -83,7 +83,7 @@
         }
         // A load is on its way: left now, it would have been for nothing.
         (Err(_), None) => {
-            let rest = wish.timeout.saturating_sub(wish.start_timeout);
+            let rest = wish.total_timeout.saturating_sub(wish.start_timeout);
             let ended = tokio::time::timeout(rest, wait).await;
             ended.map_err(|_| {
                 PlacementError::from("the load takes longer than the request may wait")
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -34,7 +34,7 @@
         priority: 0,
         objective_ms: 1_000,
         start_timeout: Duration::from_secs(5),
-        timeout: Duration::from_secs(5),
+        total_timeout: Duration::from_secs(5),
     };
     let unplaced = place_adapter(&node, wish).await.unwrap_err();
     assert_eq!(unplaced.gone, ["e".into()]);
