--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -9,7 +9,7 @@
 use comfreyhall_routing::{Standing, Work};
 use rand::seq::IteratorRandom;
 
-use super::{Fleet, Peer, State, hub, parse_key, runs::Runs};
+use super::{Fleet, Peer, State, hub, parse_adapter_key, runs::Runs};
 use crate::{
     facts::{self, Provenance},
     follow,
@@ -38,13 +38,13 @@
         let mut state = self.state();
         let known = state.alive(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
-        news.peers = if hub::large(state.peers.len()) {
+        news.peers = if hub::is_large(state.peers.len()) {
             // Rosters name the rest.
             known.choose_multiple(&mut rand::rng(), NAMED)
         } else {
             known.collect()
         };
-        if hub::large(state.peers.len()) {
+        if hub::is_large(state.peers.len()) {
             news.holders = state.holders(now);
         }
         news.runs = state.runs_for(addr, now);
@@ -98,11 +98,11 @@
             running: w.running,
         });
         let work = work.collect();
-        let targets = view.book.shelf(Topic::Targets);
+        let targets = view.book.topic_rows(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.in_force.age(now);
-        let settings_version = view.book.in_force.newest();
+        let settings_age = view.book.settings_sync.age(now);
+        let settings_version = view.book.settings_sync.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
         // to hear of it and to send them. What goes wrong without it: the store
@@ -110,7 +110,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.in_force.behind_ms(now);
+        let behind_ms = view.book.settings_sync.behind_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -157,7 +157,7 @@
             let Some(peer) = state.peers.get(addr) else {
                 return;
             };
-            if hub::large(state.peers.len()) && !peer.holds() {
+            if hub::is_large(state.peers.len()) && !peer.holds() {
                 return;
             }
             let new = peer.about.is_none();
@@ -179,9 +179,9 @@
             return;
         };
         let now = node.now();
-        self.meet(&from.peer, false);
+        self.add_peer(&from.peer, false);
         for addr in &news.peers {
-            self.meet(addr, false);
+            self.add_peer(addr, false);
         }
         wire::hear(node, &news.evidence);
         outbound::learn(node, &news.words, &from.id);
@@ -192,7 +192,7 @@
         }
         let ours = news.cessions.iter().filter(|c| c.to == self.me.peer);
         for cession in ours {
-            node.leases.accept(&cession.group, cession.token);
+            node.leases.accept_handover(&cession.group, cession.token);
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
@@ -209,7 +209,7 @@
         }
         view.board.peer(&peer, &works, now + alive_for);
         for placed in &news.placed {
-            if let Some(adapter) = parse_key(&placed.adapter) {
+            if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
                     true => Standing::Absent,
@@ -227,7 +227,7 @@
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.in_force.fits(news.settings_since) {
+        let settings = match node.view().book.settings_sync.fits(news.settings_since) {
             true => news.settings,
             false => Vec::new(),
         };
@@ -248,7 +248,7 @@
         if age != u64::MAX && covers {
             view.book.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.book.in_force;
+        let in_force = &mut view.book.settings_sync;
         let before = in_force.heard().map(|h| h.version);
         in_force.peer_said(&peer, settings_version, settings_as_of, now);
         tell_heard(in_force, before, now);
@@ -275,7 +275,7 @@
     /// Takes in what a peer tells of itself; returns its work at engines.
     fn learn_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
         for holding in &news.holdings {
-            node.leases.beat(&holding.group, holding.token);
+            node.leases.observe_token(&holding.group, holding.token);
         }
         let mut state = self.state();
         let limit = Self::alive_ms(state.peers.len());
@@ -334,7 +334,7 @@
     /// at engines of its groups, and those of groups without a known holder.
     fn runs_for(&self, addr: &str, now: u64) -> Vec<EngineRun> {
         let all = self.runs.iter();
-        if !hub::large(self.peers.len()) {
+        if !hub::is_large(self.peers.len()) {
             return all.map(|(id, run)| run.to_wire(id)).collect();
         }
         let holds = |p: &Peer, group: &Name| p.holdings.iter().any(|(g, _)| g == group);
@@ -371,7 +371,7 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.book.topic_rows(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
     let newer = |fact: &&Fact| match topic {
         Topic::Settings => fact.version > version,
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -13,7 +13,7 @@
 
 use super::Job;
 use crate::{
-    fleet::parse_key,
+    fleet::parse_adapter_key,
     node::{Node, View},
     outbound::Shut,
 };
@@ -28,7 +28,7 @@
         loop {
             tokio::time::sleep(PERIOD).await;
             let wanted = node.policies().early_copies;
-            if wanted && node.leases.any(node.settings().bounds.fencing) {
+            if wanted && node.leases.holds_any(node.settings().bounds.fencing) {
                 order(&node);
             }
         }
@@ -77,7 +77,7 @@
         if needed < 2 {
             continue;
         }
-        let Some(adapter) = parse_key(&key).filter(|a| a.adapter.is_some()) else {
+        let Some(adapter) = parse_adapter_key(&key).filter(|a| a.adapter.is_some()) else {
             continue;
         };
         let held = view.residency.copies(&adapter);
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -16,17 +16,17 @@
 use tokio::sync::Notify;
 
 use crate::{
-    caps::{Caps, Of},
+    caps::{QuotaKind, Quotas},
     clock,
-    facts::Book,
+    facts::FactStore,
     fleet::Fleet,
     flood::Flood,
-    keeper::Keepers,
+    keeper::EngineControllers,
     leases::Leases,
     metrics::Metrics,
     outbound::Outbound,
     ports::{Backend, Source},
-    quarantine::Watch,
+    quarantine::QuarantineTracker,
 };
 
 /// Half-life of the wish for an adapter, in ms: popularity in the
@@ -88,7 +88,7 @@
     pub(crate) prompt_tokens: f64,
     /// How long runs hold their places.
     pub(crate) hold: Hold,
-    pub(crate) book: Book,
+    pub(crate) book: FactStore,
 }
 
 impl Default for View {
@@ -111,7 +111,7 @@
             hot: Map::default(),
             prompt_tokens: FIRST_PROMPT,
             hold: Hold::default(),
-            book: Book::default(),
+            book: FactStore::default(),
         }
     }
 }
@@ -193,12 +193,12 @@
     pub(crate) life: Life,
     pub(crate) leases: Leases,
     pub(crate) fleet: Fleet,
-    pub(crate) keepers: Keepers,
+    pub(crate) keepers: EngineControllers,
     pub(crate) metrics: Metrics,
-    pub(crate) quarantine: Watch,
-    pub(crate) caps: Caps,
+    pub(crate) quarantine: QuarantineTracker,
+    pub(crate) caps: Quotas,
     /// Limits of targets.
-    pub(crate) limits: Caps,
+    pub(crate) limits: Quotas,
     pub(crate) flood: Flood,
     pub(crate) outbound: Outbound,
     /// Wakes duties that act on changed settings or targets.
@@ -229,11 +229,11 @@
             backend,
             life: Life::new(),
             leases: Leases::default(),
-            keepers: Keepers::default(),
+            keepers: EngineControllers::default(),
             metrics: Metrics::new(),
-            quarantine: Watch::default(),
-            caps: Caps::new(Of::Workspaces),
-            limits: Caps::new(Of::Targets),
+            quarantine: QuarantineTracker::default(),
+            caps: Quotas::new(QuotaKind::Workspaces),
+            limits: Quotas::new(QuotaKind::Targets),
             flood: Flood::default(),
             outbound: Outbound::default(),
             changed: Notify::new(),
@@ -263,10 +263,10 @@
     }
 
     /// The caps of one kind.
-    pub(crate) fn caps_of(&self, of: Of) -> &Caps {
+    pub(crate) fn caps_of(&self, of: QuotaKind) -> &Quotas {
         match of {
-            Of::Workspaces => &self.caps,
-            Of::Targets => &self.limits,
+            QuotaKind::Workspaces => &self.caps,
+            QuotaKind::Targets => &self.limits,
         }
     }
 
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -29,7 +29,7 @@
 use crate::{
     caps::Credit,
     choose::{self, Need, Plan, Wish},
-    fleet::key_of,
+    fleet::adapter_key,
     node::{Node, Tracked},
     quarantine::Trial,
     stop,
@@ -155,7 +155,7 @@
     pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.life_known()) else {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+            let basis = Basis::of(&self.view().book.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.age(); "refused: nothing is known yet");
             return Reply::NotReady {
                 retry_ms: NOT_READY_MS,
@@ -168,7 +168,7 @@
         let Some(mut job) = Job::new(self, &config, ask, route, caller) else {
             return Reply::NoRoute;
         };
-        if !stop::takes(self, job.limit) {
+        if !stop::accepts(self, job.limit) {
             job.ended = true;
             log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name; "refused: the stop is near its end");
             return Reply::NotReady {
@@ -240,7 +240,7 @@
 
     /// `model/adapter`, for the log.
     pub(crate) fn adapter(&self) -> Name {
-        self.ask.adapter.as_ref().map_or("".into(), key_of)
+        self.ask.adapter.as_ref().map_or("".into(), adapter_key)
     }
 
     pub(crate) fn left(&self) -> u64 {
@@ -375,13 +375,13 @@
         });
         budget.request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
-            let key = key_of(adapter);
+            let key = adapter_key(adapter);
             view.wanted(&key, 1, now);
             if let Some(tokens) = self.ask.tokens {
                 view.prompt(tokens.prompt);
             }
             drop(view);
-            self.node.fleet.demand(&key);
+            self.node.fleet.record_demand(&key);
         }
     }
 
@@ -393,7 +393,7 @@
         let budget = view.budgets.get_mut(&self.service);
         let granted = budget.is_some_and(|b| b.repeat(now, daemons));
         drop(view);
-        self.node.metrics.repeat(granted);
+        self.node.metrics.retry(granted);
         granted
     }
 
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -102,7 +102,7 @@
             last_event,
         };
         if let Some(credit) = &mut self.credit {
-            credit.sent();
+            credit.mark_sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
         let seat = self.seat(plan);
@@ -144,7 +144,7 @@
     /// own if it goes there unasked; none at a target that is no engine.
     fn seat(&self, plan: &mut Plan) -> Option<Seat> {
         let own = || {
-            let run = self.node.fleet.next_run();
+            let run = self.node.fleet.next_run_id();
             Seat::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
@@ -257,7 +257,7 @@
                     view.prefixes.note(adapter, &self.ask.parts, target, now);
                 }
                 let job = self.take();
-                self.node.metrics.first(job.first);
+                self.node.metrics.first_event(job.first);
                 let body = relay.run(job);
                 Next::Reply(Reply::Events {
                     status,
