--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -56,8 +56,8 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.asked(&key_of(adapter), groups, now) {
-        view.heat(adapter, now);
+    if view.count_bind(&key_of(adapter), groups, now) {
+        view.mark_hot(adapter, now);
     }
 }
 
--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -165,11 +165,11 @@
 fn refresh_targets(node: &Node) {
     let now = node.now();
     let limits = outbound::limits(node, now);
-    if limits.is_empty() && !node.limits.in_use() {
+    if limits.is_empty() && !node.target_limits.in_use() {
         return;
     }
     let groups = groups(node);
-    let mut state = node.limits.state();
+    let mut state = node.target_limits.state();
     if state.limits == limits && state.groups == groups {
         return;
     }
@@ -189,7 +189,7 @@
     };
     let groups = groups(node);
     let now = node.now();
-    let mut state = node.caps.state();
+    let mut state = node.quotas.state();
     if state.version == config.version && state.groups == groups {
         return;
     }
@@ -241,7 +241,7 @@
     name: &Name,
     size: u64,
 ) -> Result<Credit, Refused> {
-    let caps = node.caps_of(of);
+    let caps = node.quotas_of(of);
     let began = node.now();
     if let Some(meter) = &mut caps.state().meter {
         meter.ask(name, size, began);
@@ -275,7 +275,7 @@
 /// Waits until the home of `name` has answered `call`, at most until `until`;
 /// false if it has not.
 async fn answered(node: &Arc<Node>, of: Of, name: &str, call: u64, until: u64) -> bool {
-    let caps = node.caps_of(of);
+    let caps = node.quotas_of(of);
     loop {
         let settled = caps.settled.notified();
         tokio::pin!(settled);
@@ -339,7 +339,7 @@
     }
 
     fn with(&self, act: impl FnOnce(&mut dyn Meter, &str, u64)) {
-        if let Some(meter) = &mut self.node.caps_of(self.of).state().meter {
+        if let Some(meter) = &mut self.node.quotas_of(self.of).state().meter {
             act(meter.as_mut(), &self.name, self.size);
         }
     }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -26,7 +26,7 @@
             outbound::sweep(&node);
             for of in [Of::Workspaces, Of::Targets] {
                 refresh(&node, of);
-                let caps = node.caps_of(of);
+                let caps = node.quotas_of(of);
                 if caps.in_use() {
                     meet(&node, caps);
                     settle_due(&node, of);
@@ -82,7 +82,7 @@
     let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
     let homes = homes.collect();
     let members = node.fleet.members(now);
-    let stale = node.view().book.in_force.age(now) > STALE_MS;
+    let stale = node.view().records.in_force.age(now) > STALE_MS;
     Met {
         homes,
         fleet: Fleet {
@@ -97,7 +97,7 @@
 pub(super) fn settle_due(node: &Arc<Node>, of: Of) {
     let now = node.now();
     let calls: Vec<(Name, Home, Call)> = {
-        let mut state = node.caps_of(of).state();
+        let mut state = node.quotas_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
@@ -121,7 +121,7 @@
         return;
     };
     let call = {
-        let mut state = node.caps_of(of).state();
+        let mut state = node.quotas_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
@@ -150,7 +150,7 @@
         }
     };
     let now = node.now();
-    let caps = node.caps_of(of);
+    let caps = node.quotas_of(of);
     if let Some(meter) = &mut caps.state().meter {
         meter.heard(&group, &home, reply.as_ref(), now);
         if ended {
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -122,7 +122,7 @@
     let call = from_call(message);
     let now = node.now();
     let met = node.fleet.met(&call.from).unwrap_or(now);
-    let answered = match &mut node.caps_of(of).state().meter {
+    let answered = match &mut node.quotas_of(of).state().meter {
         Some(meter) => meter.answer(&call, met, now),
         None => Reply {
             boot: node.fleet.boot(),
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -141,7 +141,7 @@
     let policies = settings.policies;
     let shut = outbound::Shut::now(node, now);
     let view = node.view();
-    let targets = view.ready(wish.service, now);
+    let targets = view.ready_targets(wish.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
         .filter(|t| wish.open(t) && !shut.sends(&t.id))
@@ -227,8 +227,8 @@
 /// The least version of `adapter` that may still serve.
 fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
     let grace = node.settings().bounds.version_ms / GRACE_PART;
-    let named = view.named.get(adapter);
-    let due = named.filter(|n| now.saturating_sub(n.learned) >= grace);
+    let named = view.named_versions.get(adapter);
+    let due = named.filter(|n| now.saturating_sub(n.learned_ms) >= grace);
     due.map_or(0, |n| n.version)
 }
 
@@ -275,7 +275,7 @@
     let key = crate::fleet::key_of(adapter);
     let in_use = node.fleet.in_use(now);
     let used = node.fleet.used(now);
-    let named = view.named.get(adapter).map_or(0, |n| n.version);
+    let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, wish, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
@@ -326,7 +326,7 @@
             continue;
         }
         let recent = view.residency.recent(adapter, &t.id, now);
-        choice.load_ms = node.keepers.load_ms(recent);
+        choice.load_ms = node.controllers.load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
         choice.stored = !recent && !hot && policies.spare_store;
         choice.evicts =
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -10,7 +10,7 @@
 use comfreyhall_inforce::{InForce, Way};
 
 use crate::{
-    node::{Named, Node, View},
+    node::{NamedVersion, Node, View},
     ports::{Decoded, Record, RecordBatch, Topic},
 };
 
@@ -80,20 +80,20 @@
 pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.records.shelf(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.book.shelf(topic).rows.get(&fact.key);
+        let known = view.records.shelf(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.book.in_force.take(fact.version, way, *asked, now);
+            view.records.in_force.take(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.book.shelf(topic);
+        let shelf = view.records.shelf(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -115,7 +115,7 @@
 fn take(node: &Node, view: &mut View, topic: Topic, fact: &Record, now: u64) -> bool {
     if fact.value.is_none() {
         if topic == Topic::Targets {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             if let Some(known) = view.boot_of(&fact.key) {
                 forget(view, &known.id);
             }
@@ -135,24 +135,24 @@
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
             tell_in_force(node, view, &config, fact);
-            view.book.in_force.set_readable(true);
+            view.records.in_force.set_readable(true);
             view.config_key = Some(fact.key.clone());
             view.ranks = Ranks::of(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
-            let known = view.named.get(&adapter);
+            let known = view.named_versions.get(&adapter);
             if known.is_some_and(|n| n.version >= version) {
                 return false;
             }
-            let named = Named {
+            let named = NamedVersion {
                 version,
-                learned: now,
+                learned_ms: now,
             };
-            view.named.insert(adapter, named);
+            view.named_versions.insert(adapter, named);
         }
         Ok(Decoded::Target(target)) => {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             // Another boot is only looked for when this one is not known:
             // looking through all targets for each of their entries would
             // take 4 million comparisons a second with 2,200 targets.
@@ -184,7 +184,7 @@
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
-                view.book.in_force.set_readable(false);
+                view.records.in_force.set_readable(false);
             }
             log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
         }
@@ -194,13 +194,13 @@
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
 fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Record) {
-    let Some(taken) = view.book.in_force.taken() else {
+    let Some(taken) = view.records.in_force.taken() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
     node.metrics.settings(taken.way.kind(), bytes, taken.waited);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.book.in_force.age(taken.at);
+    let age = view.records.in_force.age(taken.at);
     log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
 }
 
@@ -215,9 +215,9 @@
         target.stage = Stage::Draining;
         view.targets.insert(target.id.clone(), Arc::new(target));
     }
-    if view.unread.get(name) != Some(&problem) {
+    if view.entry_errors.get(name) != Some(&problem) {
         log::warn!(target: "follow", key:% = name, problem:%; "entry names no target; correct or delete it");
-        view.unread.insert(name.clone(), problem);
+        view.entry_errors.insert(name.clone(), problem);
     }
 }
 
@@ -241,7 +241,7 @@
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Record> = {
         let mut view = node.view();
-        let rows = view.book.shelf(Topic::Targets).rows.values();
+        let rows = view.records.shelf(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
             .map(|f| Record {
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -23,7 +23,10 @@
 fn ready(node: &Node) -> Vec<Name> {
     let now = node.now();
     let view = node.view();
-    view.ready("s", now).iter().map(|t| t.id.clone()).collect()
+    view.ready_targets("s", now)
+        .iter()
+        .map(|t| t.id.clone())
+        .collect()
 }
 
 /// Symptom: requests went to an engine for adapters that it did not hold, and
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -111,7 +111,7 @@
 
 /// Hands the settings over that `ask` lacks, or names others that may have them.
 pub(super) fn give(node: &Node, ask: &SettingsAsk) -> Result<Pieces, Status> {
-    let newest = node.view().book.in_force.newest();
+    let newest = node.view().records.in_force.newest();
     if newest <= ask.since {
         return Err(Status::not_found("nothing newer is known here"));
     }
@@ -173,7 +173,7 @@
 async fn catch_up(node: &Arc<Node>) -> Option<Duration> {
     // The other parts are left for finding one that has it, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
-    let step = node.view().book.in_force.step(node.now(), patience);
+    let step = node.view().records.in_force.step(node.now(), patience);
     match step {
         Step::Rest => return None,
         Step::Wait(ms) => return Some(Duration::from_millis(ms)),
@@ -205,14 +205,14 @@
 /// Takes in what the daemon at `addr` hands over.
 async fn fetch(node: &Arc<Node>, addr: &str) -> Result<(), FetchError> {
     let asked = node.now();
-    let since = node.view().book.in_force.covers();
+    let since = node.view().records.in_force.covers();
     let transfer = collect(node, addr, since);
     let rows = match tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await {
         Ok(rows) => rows?,
         Err(_) => return Err(FetchError::Failed("it takes too long".to_string())),
     };
     let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Odd("not rows"))?;
-    if !node.view().book.in_force.fits(rows.since) {
+    if !node.view().records.in_force.fits(rows.since) {
         return Err(FetchError::Odd("a gap before them"));
     }
     let newest = rows.newest;
@@ -228,7 +228,7 @@
         RecordBatch { rows, version },
         &origin,
     );
-    node.view().book.in_force.peer_gave(newest);
+    node.view().records.in_force.peer_gave(newest);
     follow::settle(node);
     Ok(())
 }
@@ -261,7 +261,7 @@
 impl Fleet {
     /// A daemon that has newer settings, drawn among those that have the newest.
     fn giver(&self, node: &Node) -> Option<Name> {
-        let known = node.view().book.in_force.covers();
+        let known = node.view().records.in_force.covers();
         let now = node.now();
         let state = self.state();
         let newest = state.heard(now).map(|(_, p)| p.settings).max()?;
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -98,11 +98,11 @@
             running: w.running,
         });
         let work = work.collect();
-        let targets = view.book.shelf(Topic::Targets);
+        let targets = view.records.shelf(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.in_force.age(now);
-        let settings_version = view.book.in_force.newest();
+        let settings_age = view.records.in_force.age(now);
+        let settings_version = view.records.in_force.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
         // to hear of it and to send them. What goes wrong without it: the store
@@ -110,7 +110,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.in_force.behind_ms(now);
+        let behind_ms = view.records.in_force.behind_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -130,7 +130,7 @@
             targets_version,
             targets_age,
             settings_age,
-            cut_off: node.cut_off() || behind_ms > lag_ms,
+            cut_off: node.settings_unavailable() || behind_ms > lag_ms,
             members: self.known_members(),
             words,
             sent_at: now,
@@ -219,15 +219,15 @@
             }
         }
         for demand in &news.demands {
-            view.wanted(&demand.key, demand.requests, now);
+            view.count_demand(&demand.key, demand.requests, now);
         }
         drop(view);
         let age = news.targets_age;
-        let covers = news.targets_version >= node.view().book.targets.version;
+        let covers = news.targets_version >= node.view().records.targets.version;
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.in_force.fits(news.settings_since) {
+        let settings = match node.view().records.in_force.fits(news.settings_since) {
             true => news.settings,
             false => Vec::new(),
         };
@@ -246,9 +246,9 @@
         }
         let mut view = node.view();
         if age != u64::MAX && covers {
-            view.book.targets.confirm(now.saturating_sub(age));
+            view.records.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.book.in_force;
+        let in_force = &mut view.records.in_force;
         let before = in_force.heard().map(|h| h.version);
         in_force.peer_said(&peer, settings_version, settings_as_of, now);
         tell_heard(in_force, before, now);
@@ -371,7 +371,7 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.records.shelf(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
     let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -292,7 +292,7 @@
         heard_boot,
         ..news(0, Vec::new())
     };
-    let age = || node.view().book.in_force.age(5_000);
+    let age = || node.view().records.in_force.age(5_000);
     let boot = node.fleet.boot();
     // The last one says that the store told it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
@@ -321,7 +321,7 @@
         }],
         ..news(0, Vec::new())
     };
-    let newest = || node.view().book.in_force.newest();
+    let newest = || node.view().records.in_force.newest();
     node.fleet.learn(&node, told(9), super::Origin::Call);
     assert_eq!(newest(), 0);
     node.fleet.learn(&node, told(0), super::Origin::Answer);
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -76,7 +76,7 @@
 /// Waits until what is known of the targets is `due` ms old.
 async fn await_age(node: &Node, due: u64) {
     loop {
-        let as_of = node.view().book.targets.as_of;
+        let as_of = node.view().records.targets.as_of;
         if as_of == 0 || node.now().saturating_sub(as_of) >= due {
             return;
         }
@@ -95,7 +95,7 @@
     let now = node.now();
     let last = {
         let mut view = node.view();
-        let targets = &mut view.book.targets;
+        let targets = &mut view.records.targets;
         // What a peer heard meanwhile may be newer than this answer.
         let last = targets.as_of;
         targets.as_of = last.max(began);
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -49,7 +49,7 @@
             continue;
         }
         let id = &copy.target.id;
-        let Some(jobs) = node.keepers.jobs().get(id).cloned() else {
+        let Some(jobs) = node.controllers.jobs().get(id).cloned() else {
             continue;
         };
         let job = Job::ahead(copy.adapter, 0, now);
@@ -70,9 +70,9 @@
 /// Engines whose places are all in use come last: a copy ordered there waits,
 /// and the queues that it is to relieve grow meanwhile.
 fn due(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<Due> {
-    let cost_ms = view.board.reading_ms(view.prompt_tokens);
+    let cost_ms = view.board.reading_ms(view.mean_prompt);
     let mut out = Vec::new();
-    for (key, rate) in view.rush.rates(now) {
+    for (key, rate) in view.fast_demand.rates(now) {
         let needed = engines_for(rate, cost_ms);
         if needed < 2 {
             continue;
@@ -88,7 +88,7 @@
             .filter(|t| view.residency.version(&adapter, &t.id).is_none())
             .map(|t| {
                 let used = in_use.get(&t.id).map_or(0, Vec::len);
-                let full = used as u32 >= view.places(t);
+                let full = used as u32 >= view.adapter_slots(t);
                 ((full, home_rank(&key, &t.id)), t)
             })
             .collect();
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -20,14 +20,14 @@
     let targets = ["a", "b", "c", "d", "e", "f"].map(|id| (Name::from(id), engine(id).into()));
     let mut view = View {
         targets: targets.into_iter().collect(),
-        prompt_tokens: 2_000.0,
+        mean_prompt: 2_000.0,
         ..View::default()
     };
     let held = Standing::Held(1);
     view.residency.note(adapter, &"a".into(), held, 1_000);
     for i in 0..requests {
         let at = 1_000 + u64::from(i) * 1_000 / u64::from(requests);
-        view.wanted("m/a1", 1, at);
+        view.count_demand("m/a1", 1, at);
     }
     view
 }
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -7,7 +7,7 @@
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
 use crate::{
     fleet::key_of,
-    node::Named,
+    node::NamedVersion,
     ports::{Action, CommandReply},
 };
 
@@ -73,7 +73,7 @@
             return;
         };
         let took = now.saturating_sub(coming.ordered);
-        self.node.keepers.learn(coming.recent, took, now);
+        self.node.controllers.learn(coming.recent, took, now);
         let Some(coming) = self.take_coming(adapter) else {
             return;
         };
@@ -110,7 +110,7 @@
         let grace = self.node.settings().bounds.version_ms / RENEW_PART;
         let in_use = self.node.fleet.in_use_at(&self.target.id, now);
         let outdated = newer.into_iter().filter(|(adapter, named)| {
-            let due = now.saturating_sub(named.learned) >= grace;
+            let due = now.saturating_sub(named.learned_ms) >= grace;
             due || !in_use.contains(adapter)
         });
         let outdated: Vec<(AdapterRef, u64, f64)> = {
@@ -132,10 +132,10 @@
     }
 
     /// Adapters here of which a newer version was named.
-    fn newer(&self) -> Vec<(AdapterRef, Named)> {
+    fn newer(&self) -> Vec<(AdapterRef, NamedVersion)> {
         let view = self.node.view();
         let newer = self.held.iter().filter_map(|(adapter, hold)| {
-            let named = view.named.get(adapter)?;
+            let named = view.named_versions.get(adapter)?;
             (named.version > hold.version).then(|| (adapter.clone(), *named))
         });
         newer.collect()
@@ -185,7 +185,7 @@
         // Another engine loads it for somebody else, and serves this one too
         // once it looks at its queue; that takes no second load.
         let among = job.ticket.as_ref().map_or(&[][..], |t| t.among());
-        let keepers = &self.node.keepers;
+        let keepers = &self.node.controllers;
         if keepers.loads_elsewhere(&job.adapter, &self.target.id, among) {
             return Some("elsewhere");
         }
@@ -198,7 +198,7 @@
         };
         // What the engine has at hand does not come from the weight store.
         let window = self.node.policies().load_window;
-        (window && !recent && self.node.keepers.store_full()).then_some("weight store")
+        (window && !recent && self.node.controllers.store_full()).then_some("weight store")
     }
 
     /// This engine holds `version`.
@@ -213,21 +213,24 @@
         let now = self.node.now();
         let (version, recent) = {
             let view = self.node.view();
-            let named = view.named.get(&job.adapter).map_or(0, |n| n.version);
+            let named = view
+                .named_versions
+                .get(&job.adapter)
+                .map_or(0, |n| n.version);
             let recent = view.residency.recent(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
         let done = job.claim();
         let target = self.target.id.clone();
-        self.node.keepers.begin_load(&job.adapter, &target);
+        self.node.controllers.begin_load(&job.adapter, &target);
         let reply = self.order(Action::Load, &job.adapter, version).await;
         if reply != CommandReply::Accepted {
-            self.node.keepers.end_load(&job.adapter, &target);
+            self.node.controllers.end_load(&job.adapter, &target);
         }
         match reply {
             CommandReply::Accepted => {
                 let now = self.node.now();
-                let expected = self.node.keepers.load_ms(recent);
+                let expected = self.node.controllers.load_ms(recent);
                 let coming = Coming {
                     version,
                     ordered: now,
@@ -284,7 +287,7 @@
     }
 
     pub(super) fn places(&self) -> usize {
-        self.node.view().places(&self.target) as usize
+        self.node.view().adapter_slots(&self.target) as usize
     }
 
     pub(super) fn choose_victim(&self) -> Option<AdapterRef> {
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -231,13 +231,13 @@
             {
                 let mut view = node.view();
                 view.demand.prune(FORGOTTEN_SCORE, now);
-                view.rush.prune(FORGOTTEN_SCORE, now);
-                view.asked.prune(FORGOTTEN_SCORE, now);
+                view.fast_demand.prune(FORGOTTEN_SCORE, now);
+                view.bind_demand.prune(FORGOTTEN_SCORE, now);
             }
             let ours = engines(&node).into_iter();
             let ours = ours.filter(|t| node.token(&t.domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
-            node.keepers.window().open(ours.len());
+            node.controllers.window().open(ours.len());
             for target in &ours {
                 start(&node, target);
             }
@@ -262,7 +262,7 @@
 }
 
 fn start(node: &Arc<Node>, target: &Arc<Target>) {
-    let mut jobs = node.keepers.jobs();
+    let mut jobs = node.controllers.jobs();
     if jobs.get(&target.id).is_some_and(|j| !j.is_closed()) {
         return;
     }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -37,7 +37,7 @@
         let Some(token) = self.node.token(&self.target.domain) else {
             return CommandReply::Fenced;
         };
-        if self.node.leaving() {
+        if self.node.draining() {
             return CommandReply::Fenced;
         }
         let order = Command {
@@ -70,7 +70,7 @@
             CommandReply::Gone => {
                 let until = self.node.now() + IDLE_MS;
                 let mut view = self.node.view();
-                view.dead.insert(self.target.id.clone(), until);
+                view.unavailable_until.insert(self.target.id.clone(), until);
             }
             CommandReply::Invalid => {
                 log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "order refused as invalid");
@@ -122,7 +122,7 @@
             return;
         };
         let part = self.part_of_groups();
-        if !self.node.keepers.model_may_load(rate, part, now) {
+        if !self.node.controllers.model_may_load(rate, part, now) {
             self.model_due = now + IDLE_MS;
             return;
         }
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -44,7 +44,7 @@
             // Requests sent to the boot that is gone are refused, one by one.
             let until = now + IDLE_MS;
             let mut view = self.node.view();
-            view.dead.insert(self.target.id.clone(), until);
+            view.unavailable_until.insert(self.target.id.clone(), until);
         }
     }
 
@@ -115,17 +115,17 @@
 
     pub(super) fn add_coming(&mut self, adapter: AdapterRef, coming: Coming) {
         if !coming.recent {
-            self.node.keepers.coming.fetch_add(1, Ordering::Relaxed);
+            self.node.controllers.coming.fetch_add(1, Ordering::Relaxed);
         }
-        self.node.keepers.begin_load(&adapter, &self.target.id);
+        self.node.controllers.begin_load(&adapter, &self.target.id);
         self.coming.insert(adapter, coming);
     }
 
     pub(super) fn take_coming(&mut self, adapter: &AdapterRef) -> Option<Coming> {
         let coming = self.coming.remove(adapter)?;
-        self.node.keepers.end_load(adapter, &self.target.id);
+        self.node.controllers.end_load(adapter, &self.target.id);
         if !coming.recent {
-            self.node.keepers.coming.fetch_sub(1, Ordering::Relaxed);
+            self.node.controllers.coming.fetch_sub(1, Ordering::Relaxed);
         }
         Some(coming)
     }
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -58,7 +58,7 @@
             until: now + wish.begin.as_millis() as u64,
             blocked: "",
         };
-        let jobs = node.keepers.jobs().get(&pick.target).cloned();
+        let jobs = node.controllers.jobs().get(&pick.target).cloned();
         offered |= jobs.is_some_and(|j| j.try_send(job).is_ok());
     }
     if !offered {
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -14,7 +14,7 @@
 async fn ensure_gone_engine_is_named() {
     let node = node();
     let (send, mut jobs) = mpsc::channel(1);
-    node.keepers.jobs().insert("e".into(), send);
+    node.controllers.jobs().insert("e".into(), send);
     tokio::spawn(async move {
         let job = jobs.recv().await.unwrap();
         let done = job.claim();
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -182,7 +182,7 @@
         let former = former(&node, &rows).await;
         loop {
             let term = Duration::from_millis(node.settings().bounds.lease_ms);
-            if node.leaving() {
+            if node.draining() {
                 let kept = release(&leases, term).await;
                 hand_on(&node, &kept).await;
                 return;
@@ -287,7 +287,7 @@
     let ahead = node.fleet.ahead(group, node.now());
     // What goes wrong without the last: the first of 195 daemons to be ready
     // knows of no other yet, and took the leases of four domains out of five.
-    let stranger = *node.settings().domain != **group && node.age() < VACANT_TERMS * term_ms;
+    let stranger = *node.settings().domain != **group && node.uptime_ms() < VACANT_TERMS * term_ms;
     let class = match (ahead.better, node.fleet.weak() || stranger) {
         (true, _) => VACANT_TERMS * term_ms,
         (false, true) => term_ms,
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -40,7 +40,7 @@
     let mut listed = None;
     let began = node.now();
     let mut failures = 0;
-    while !node.leaving() {
+    while !node.draining() {
         let now = node.now();
         // Whoever has met the others need not look for them right away.
         let met = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
@@ -87,7 +87,7 @@
 /// of those that start together ask, and the others hear it from them.
 fn unsure(node: &Node, now: u64) -> bool {
     let size = node.fleet.size(now);
-    node.caps.in_use()
+    node.quotas.in_use()
         && node.fleet.members(now).is_none()
         && rand::rng().random_range(0..size) < ASKERS
 }
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -51,10 +51,10 @@
 
 /// A named version of an adapter.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Named {
+pub(crate) struct NamedVersion {
     pub(crate) version: u64,
     /// When this daemon learned of it.
-    pub(crate) learned: u64,
+    pub(crate) learned_ms: u64,
 }
 
 /// Everything that decisions read, behind one short-held lock.
@@ -65,30 +65,30 @@
     pub(crate) config_key: Option<Name>,
     /// Order of requests by workspace and route.
     pub(crate) ranks: Ranks,
-    pub(crate) named: Map<AdapterRef, Named>,
+    pub(crate) named_versions: Map<AdapterRef, NamedVersion>,
     /// Targets by the id of their boot.
     pub(crate) targets: Map<Name, Arc<Target>>,
     /// What was wrong with entries that name no target.
-    pub(crate) unread: Map<Name, String>,
+    pub(crate) entry_errors: Map<Name, String>,
     /// Targets known to be gone or restarted before the store says so, and
     /// since when.
-    pub(crate) dead: Map<Name, u64>,
+    pub(crate) unavailable_until: Map<Name, u64>,
     pub(crate) board: Board,
     pub(crate) residency: Residency,
     pub(crate) prefixes: Prefixes,
     pub(crate) budgets: Map<Name, Budget>,
     pub(crate) demand: Demand,
     /// The same over about a second.
-    pub(crate) rush: Demand,
+    pub(crate) fast_demand: Demand,
     /// Requests for engines asked of this daemon over about a second.
-    pub(crate) asked: Demand,
+    pub(crate) bind_demand: Demand,
     /// Until when adapters count as hot.
-    pub(crate) hot: Map<AdapterRef, u64>,
+    pub(crate) hot_until: Map<AdapterRef, u64>,
     /// Mean prompt tokens of a request.
-    pub(crate) prompt_tokens: f64,
+    pub(crate) mean_prompt: f64,
     /// How long runs hold their places.
     pub(crate) hold: Hold,
-    pub(crate) book: Book,
+    pub(crate) records: Book,
 }
 
 impl Default for View {
@@ -97,55 +97,57 @@
             config: None,
             config_key: None,
             ranks: Ranks::default(),
-            named: Map::default(),
+            named_versions: Map::default(),
             targets: Map::default(),
-            unread: Map::default(),
-            dead: Map::default(),
+            entry_errors: Map::default(),
+            unavailable_until: Map::default(),
             board: Board::default(),
             residency: Residency::default(),
             prefixes: Prefixes::default(),
             budgets: Map::default(),
             demand: Demand::new(DEMAND_HALF_LIFE_MS),
-            rush: Demand::new(RUSH_HALF_LIFE_MS),
-            asked: Demand::new(RUSH_HALF_LIFE_MS),
-            hot: Map::default(),
-            prompt_tokens: FIRST_PROMPT,
+            fast_demand: Demand::new(RUSH_HALF_LIFE_MS),
+            bind_demand: Demand::new(RUSH_HALF_LIFE_MS),
+            hot_until: Map::default(),
+            mean_prompt: FIRST_PROMPT,
             hold: Hold::default(),
-            book: Book::default(),
+            records: Book::default(),
         }
     }
 }
 
 impl View {
     /// Counts `requests` for the adapter `key`.
-    pub(crate) fn wanted(&mut self, key: &str, requests: u32, now: u64) {
+    pub(crate) fn count_demand(&mut self, key: &str, requests: u32, now: u64) {
         self.demand.bump(key, requests, now);
-        self.rush.bump(key, requests, now);
+        self.fast_demand.bump(key, requests, now);
     }
 
     /// Counts a request for an engine; whether its adapter, `key`, is asked
     /// for so often that it needs an engine in each of `groups`.
-    pub(crate) fn asked(&mut self, key: &str, groups: usize, now: u64) -> bool {
-        self.asked.bump(key, 1, now);
-        let cost_ms = self.board.reading_ms(self.prompt_tokens);
-        let needed = engines_for(self.asked.rate(key, now), cost_ms);
+    pub(crate) fn count_bind(&mut self, key: &str, groups: usize, now: u64) -> bool {
+        self.bind_demand.bump(key, 1, now);
+        let cost_ms = self.board.reading_ms(self.mean_prompt);
+        let needed = engines_for(self.bind_demand.rate(key, now), cost_ms);
         groups > 1 && needed as usize >= groups
     }
 
     /// `adapter` is hot from now on.
-    pub(crate) fn heat(&mut self, adapter: &AdapterRef, now: u64) {
-        self.hot.retain(|_, until| now < *until);
-        self.hot.insert(adapter.clone(), now + HOT_MS);
+    pub(crate) fn mark_hot(&mut self, adapter: &AdapterRef, now: u64) {
+        self.hot_until.retain(|_, until| now < *until);
+        self.hot_until.insert(adapter.clone(), now + HOT_MS);
     }
 
     /// Whether `adapter` was found to be hot lately.
     pub(crate) fn is_hot(&self, adapter: &AdapterRef, now: u64) -> bool {
-        self.hot.get(adapter).is_some_and(|until| now < *until)
+        self.hot_until
+            .get(adapter)
+            .is_some_and(|until| now < *until)
     }
 
     /// Takes in the length of a prompt.
-    pub(crate) fn prompt(&mut self, tokens: u32) {
-        self.prompt_tokens += PROMPT_GAIN * (f64::from(tokens) - self.prompt_tokens);
+    pub(crate) fn observe_prompt(&mut self, tokens: u32) {
+        self.mean_prompt += PROMPT_GAIN * (f64::from(tokens) - self.mean_prompt);
     }
 
     /// The boot that is known of the target listed under `name`.
@@ -155,7 +157,7 @@
     }
 
     /// Adapters that have a place at `target`, as configured.
-    pub(crate) fn places(&self, target: &Target) -> u32 {
+    pub(crate) fn adapter_slots(&self, target: &Target) -> u32 {
         let config = self.config.as_ref();
         let service = config.and_then(|c| c.services.get(&target.service));
         let engine = service.and_then(|s| s.engine.as_ref());
@@ -166,18 +168,21 @@
     }
 
     /// Whether `target` takes work of `service`.
-    pub(crate) fn takes(&self, target: &Target, service: &str, now: u64) -> bool {
+    pub(crate) fn accepts(&self, target: &Target, service: &str, now: u64) -> bool {
         *target.service == *service
             && target.stage == comfreyhall_domain::Stage::Ready
-            && self.dead.get(&target.id).is_none_or(|until| now >= *until)
+            && self
+                .unavailable_until
+                .get(&target.id)
+                .is_none_or(|until| now >= *until)
     }
 
     /// Targets of `service` that take work, in a fixed order.
-    pub(crate) fn ready(&self, service: &str, now: u64) -> Vec<Arc<Target>> {
+    pub(crate) fn ready_targets(&self, service: &str, now: u64) -> Vec<Arc<Target>> {
         let mut out: Vec<Arc<Target>> = self
             .targets
             .values()
-            .filter(|t| self.takes(t, service, now))
+            .filter(|t| self.accepts(t, service, now))
             .cloned()
             .collect();
         out.sort_by(|a, b| a.id.cmp(&b.id));
@@ -193,26 +198,26 @@
     pub(crate) life: Life,
     pub(crate) leases: Leases,
     pub(crate) fleet: Fleet,
-    pub(crate) keepers: Keepers,
+    pub(crate) controllers: Keepers,
     pub(crate) metrics: Metrics,
     pub(crate) quarantine: Watch,
-    pub(crate) caps: Caps,
+    pub(crate) quotas: Caps,
     /// Limits of targets.
-    pub(crate) limits: Caps,
-    pub(crate) flood: Flood,
+    pub(crate) target_limits: Caps,
+    pub(crate) log_limits: Flood,
     pub(crate) outbound: Outbound,
     /// Wakes duties that act on changed settings or targets.
     pub(crate) changed: Notify,
     view: Mutex<View>,
     /// When this daemon started, in ms of its clock.
-    began: u64,
+    started_ms: u64,
     in_flight: AtomicUsize,
     /// When a planned stop began; 0 for not yet.
-    stopping: AtomicU64,
+    drain_began_ms: AtomicU64,
     /// Whether the settings in the store cannot be read.
-    cut_off: AtomicBool,
+    settings_unavailable: AtomicBool,
     /// Whether every request is refused because the process is about to end.
-    closed: AtomicBool,
+    rejects_all: AtomicBool,
 }
 
 impl Node {
@@ -229,20 +234,20 @@
             backend,
             life: Life::new(),
             leases: Leases::default(),
-            keepers: Keepers::default(),
+            controllers: Keepers::default(),
             metrics: Metrics::new(),
             quarantine: Watch::default(),
-            caps: Caps::new(Of::Workspaces),
-            limits: Caps::new(Of::Targets),
-            flood: Flood::default(),
+            quotas: Caps::new(Of::Workspaces),
+            target_limits: Caps::new(Of::Targets),
+            log_limits: Flood::default(),
             outbound: Outbound::default(),
             changed: Notify::new(),
             view: Mutex::default(),
-            began: clock::now(),
+            started_ms: clock::now(),
             in_flight: AtomicUsize::new(0),
-            stopping: AtomicU64::new(0),
-            cut_off: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            drain_began_ms: AtomicU64::new(0),
+            settings_unavailable: AtomicBool::new(false),
+            rejects_all: AtomicBool::new(false),
         })
     }
 
@@ -263,10 +268,10 @@
     }
 
     /// The caps of one kind.
-    pub(crate) fn caps_of(&self, of: Of) -> &Caps {
+    pub(crate) fn quotas_of(&self, of: Of) -> &Caps {
         match of {
-            Of::Workspaces => &self.caps,
-            Of::Targets => &self.limits,
+            Of::Workspaces => &self.quotas,
+            Of::Targets => &self.target_limits,
         }
     }
 
@@ -286,7 +291,7 @@
     }
 
     /// Whether a planned stop was asked for.
-    pub fn leaving(&self) -> bool {
+    pub fn draining(&self) -> bool {
         matches!(self.life.stage(), Stage::Leaving | Stage::Stopped)
     }
 
@@ -307,41 +312,42 @@
     }
 
     /// Counts a request in progress until the guard drops.
-    pub fn track(self: &Arc<Self>) -> Tracked {
+    pub fn track(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        Tracked(self.clone())
+        InFlightGuard(self.clone())
     }
 
     /// When a planned stop began; 0 for not yet.
-    pub(crate) fn stopping(&self) -> u64 {
-        self.stopping.load(Ordering::SeqCst)
+    pub(crate) fn drain_began_ms(&self) -> u64 {
+        self.drain_began_ms.load(Ordering::SeqCst)
     }
 
     /// Whether the process is about to end.
-    pub(crate) fn closed(&self) -> bool {
-        self.closed.load(Ordering::SeqCst)
+    pub(crate) fn rejects_all(&self) -> bool {
+        self.rejects_all.load(Ordering::SeqCst)
     }
 
     /// Whether the settings in the store cannot be read.
-    pub(crate) fn cut_off(&self) -> bool {
-        self.cut_off.load(Ordering::SeqCst)
+    pub(crate) fn settings_unavailable(&self) -> bool {
+        self.settings_unavailable.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn set_cut_off(&self, cut_off: bool) {
-        self.cut_off.store(cut_off, Ordering::SeqCst);
+    pub(crate) fn set_settings_unavailable(&self, settings_unavailable: bool) {
+        self.settings_unavailable
+            .store(settings_unavailable, Ordering::SeqCst);
     }
 
-    pub(crate) fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+    pub(crate) fn reject_all(&self) {
+        self.rejects_all.store(true, Ordering::SeqCst);
     }
 
-    pub(crate) fn set_stopping(&self, now: u64) {
-        self.stopping.store(now, Ordering::SeqCst);
+    pub(crate) fn set_drain_began(&self, now: u64) {
+        self.drain_began_ms.store(now, Ordering::SeqCst);
     }
 
     /// Ms since this daemon started.
-    pub(crate) fn age(&self) -> u64 {
-        self.now().saturating_sub(self.began)
+    pub(crate) fn uptime_ms(&self) -> u64 {
+        self.now().saturating_sub(self.started_ms)
     }
 
     /// Ms of the daemon's clock.
@@ -351,9 +357,9 @@
 }
 
 /// A request in progress.
-pub struct Tracked(Arc<Node>);
+pub struct InFlightGuard(Arc<Node>);
 
-impl Drop for Tracked {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -74,7 +74,7 @@
     }
     match node.outbound.gates().limit(target, now) {
         None => Some(false),
-        Some(_) => node.limits.take_here(target, now).then_some(true),
+        Some(_) => node.target_limits.take_here(target, now).then_some(true),
     }
 }
 
--- a/crates/comfreyhall-node/src/outbound/log.rs
+++ b/crates/comfreyhall-node/src/outbound/log.rs
@@ -8,7 +8,7 @@
 /// One line for each odd notice, but for a flood of them.
 pub(super) fn odd(node: &Node, target: &Target, notice: &Notice, now: u64) {
     for problem in &notice.odd {
-        if let Some(left_out) = node.flood.odd.take(now) {
+        if let Some(left_out) = node.log_limits.odd.take(now) {
             log::warn!(target: "outbound", id:% = target.id, problem:%, left_out; "target says something odd");
         }
     }
--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -89,12 +89,12 @@
             shut.loads.insert(target.clone());
         }
         for (target, _) in gates.limited(now) {
-            let ms = node.limits.closed_ms(target, now);
+            let ms = node.target_limits.closed_ms(target, now);
             if ms > 0 {
                 let known = shut.sends.entry(target.clone()).or_default();
                 *known = ms.max(*known);
             }
-            if !node.limits.spare(target, now) {
+            if !node.target_limits.spare(target, now) {
                 shut.loads.insert(target.clone());
             }
         }
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -234,7 +234,7 @@
     {
         // A boot that has ended takes nothing any more; without this every
         // daemon finds out by itself until the entry goes.
-        node.view().dead.insert(target, now + ENDED_MS);
+        node.view().unavailable_until.insert(target, now + ENDED_MS);
     }
     new
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -82,7 +82,7 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().book.in_force.verdict(self.now(), bound);
+        let verdict = self.view().records.in_force.verdict(self.now(), bound);
         verdict == Verdict::Stale
     }
 
@@ -92,7 +92,7 @@
             return false;
         };
         let now = self.now();
-        self.view().book.in_force.age(now) > most
+        self.view().records.in_force.age(now) > most
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
@@ -107,8 +107,8 @@
             }
         };
         self.metrics.refusal(refusal);
-        if let Some(left_out) = self.flood.turned.take(self.now()) {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+        if let Some(left_out) = self.log_limits.turned.take(self.now()) {
+            let basis = Basis::of(&self.view().records.in_force, self.now());
             log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.row, from = basis.from, held = basis.held, age = basis.age, newer = basis.newer, away = basis.away; "turned away");
         }
         reply
@@ -134,7 +134,7 @@
         let tokens = self.ask.tokens;
         let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.output));
         let size = cap.size(tokens);
-        self.node.caps.catch_up(&self.node, config);
+        self.node.quotas.catch_up(&self.node, config);
         match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
@@ -161,8 +161,8 @@
         self.node.metrics.refusal(reason);
         self.node.metrics.workspace(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
-        if let Some(left_out) = self.node.flood.capped.take(now) {
-            let basis = self.node.caps.basis(&workspace, now);
+        if let Some(left_out) = self.node.log_limits.capped.take(now) {
+            let basis = self.node.quotas.basis(&workspace, now);
             let home = basis.home.as_deref().unwrap_or("");
             // Whole units a second, and per cent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -30,7 +30,7 @@
     caps::Credit,
     choose::{self, Need, Plan, Wish},
     fleet::key_of,
-    node::{Node, Tracked},
+    node::{InFlightGuard, Node},
     quarantine::Trial,
     stop,
 };
@@ -125,7 +125,7 @@
     arrivals: u32,
     /// A failure of a target, to be passed on if nothing better comes.
     spare: Option<(StatusCode, HeaderMap, Bytes)>,
-    pub(crate) tracked: Option<Tracked>,
+    pub(crate) tracked: Option<InFlightGuard>,
     /// Ms spent on waiting for adapters to be placed.
     pub(crate) stall: u64,
     /// Ms from arrival to the first event.
@@ -155,8 +155,8 @@
     pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.life_known()) else {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
-            log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.age(); "refused: nothing is known yet");
+            let basis = Basis::of(&self.view().records.in_force, self.now());
+            log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.uptime_ms(); "refused: nothing is known yet");
             return Reply::NotReady {
                 retry_ms: NOT_READY_MS,
             };
@@ -376,9 +376,9 @@
         budget.request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
             let key = key_of(adapter);
-            view.wanted(&key, 1, now);
+            view.count_demand(&key, 1, now);
             if let Some(tokens) = self.ask.tokens {
-                view.prompt(tokens.prompt);
+                view.observe_prompt(tokens.prompt);
             }
             drop(view);
             self.node.fleet.demand(&key);
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -33,7 +33,7 @@
         let now = self.node.now();
         let view = self.node.view();
         let known = view.targets.get(&plan.target.id);
-        known.is_some_and(|t| view.takes(t, &self.service, now))
+        known.is_some_and(|t| view.accepts(t, &self.service, now))
     }
 
     /// Has the holder of the planned group choose the engine, which becomes
@@ -106,7 +106,7 @@
             view.residency.note(adapter, &bound.target, standing, now);
         }
         if bound.hot {
-            view.heat(adapter, now);
+            view.mark_hot(adapter, now);
         }
         let Some(target) = view.targets.get(&bound.target).cloned() else {
             log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
@@ -137,7 +137,7 @@
             let until = self.node.now() + UNREACHED_MS;
             for target in gone {
                 // Every other request would ask for a place there too.
-                self.node.view().dead.insert(target, until);
+                self.node.view().unavailable_until.insert(target, until);
             }
         }
         // All were closed: begin again rather than give up early.
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -72,17 +72,17 @@
     pub(super) fn shut_ms(&self) -> Option<u64> {
         let now = self.node.now();
         let shut = Shut::now(&self.node, now);
-        let ready = self.node.view().ready(&self.service, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
         shut.all_ms(ready.iter().map(|t| &t.id))
     }
 
     /// One line on why none of its targets takes anything, but for a flood of them.
     pub(super) fn tell_shut(&self) {
         let now = self.node.now();
-        let Some(left_out) = self.node.flood.shut.take(now) else {
+        let Some(left_out) = self.node.log_limits.shut.take(now) else {
             return;
         };
-        let ready = self.node.view().ready(&self.service, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
         let targets = outbound::why_shut(&self.node, &ready, now);
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, targets, left_out; "targets take nothing");
     }
@@ -118,7 +118,10 @@
                 self.verdict.add(Outcome::NotSent);
                 flight.note(false, UNREACHED_WEIGHT);
                 let until = self.node.now() + UNREACHED_MS;
-                self.node.view().dead.insert(plan.target.id.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(plan.target.id.clone(), until);
                 self.tell(&plan.target.id, "not sent", &why);
                 Err(())
             }
@@ -222,7 +225,10 @@
             }
             (Refusal::Elsewhere, None) => {
                 let until = now + UNREACHED_MS;
-                self.node.view().dead.insert(target.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(target.clone(), until);
             }
             (Refusal::Full, _) => {
                 self.full += 1;
--- a/crates/comfreyhall-node/src/stop.rs
+++ b/crates/comfreyhall-node/src/stop.rs
@@ -29,8 +29,8 @@
 /// callers have had time to learn of the stop, only what surely ends before
 /// the process is taken.
 pub(crate) fn takes(node: &Node, limit: u64) -> bool {
-    let began = node.stopping();
-    if node.closed() {
+    let began = node.drain_began_ms();
+    if node.rejects_all() {
         return false;
     }
     if began == 0 || node.now().saturating_sub(began) < LINGER.as_millis() as u64 {
@@ -50,7 +50,7 @@
 /// new connections then and close idle ones; those in use end on their own.
 pub async fn leave(node: &Arc<Node>, close_idle: impl Fn()) {
     let began = node.now();
-    node.set_stopping(began);
+    node.set_drain_began(began);
     node.life.handle(Event::Stop);
     log::info!(target: "stop", in_flight = node.in_flight(); "leaving");
     fleet::tell_all(node).await;
@@ -60,7 +60,7 @@
     // What goes wrong without it: nothing is in progress, the process is
     // about to end, and a request that comes in that instant is passed on
     // and cut. From here on everything is refused.
-    node.close();
+    node.reject_all();
     drained(node, began).await;
     // The last answers are still on their way to their callers.
     tokio::time::sleep(LOOK * 4).await;
--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -103,15 +103,15 @@
     let mut at = 1_000;
     for _ in 0..10 {
         at += 200;
-        assert!(!view.asked("m/a", 5, at));
+        assert!(!view.count_bind("m/a", 5, at));
     }
     // 50 a second need an engine in each of five groups.
     let hot = (0..100)
-        .filter(|i| view.asked("m/a", 5, at + i * 20))
+        .filter(|i| view.count_bind("m/a", 5, at + i * 20))
         .count();
     assert!(hot > 50, "{hot}");
-    assert!(!view.asked("m/b", 5, at));
-    view.heat(&adapter, at);
+    assert!(!view.count_bind("m/b", 5, at));
+    view.mark_hot(&adapter, at);
     assert!(view.is_hot(&adapter, at + 4_000));
     assert!(!view.is_hot(&adapter, at + 6_000));
 }
@@ -120,7 +120,7 @@
 fn asked_one_group_is_never_hot() {
     let mut view = View::default();
     let hot = (0..500)
-        .filter(|i| view.asked("m/a", 1, 1_000 + i * 2))
+        .filter(|i| view.count_bind("m/a", 1, 1_000 + i * 2))
         .count();
     assert_eq!(hot, 0);
 }
