--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -44,7 +44,7 @@
         .into(),
         words: match of {
             Of::Workspaces => Vec::new(),
-            Of::Targets => outbound::own_words(node, &call.group),
+            Of::Targets => outbound::own_notices(node, &call.group),
         },
     }
 }
@@ -92,13 +92,13 @@
         lines: lines.collect(),
         words: match of {
             Of::Workspaces => Vec::new(),
-            Of::Targets => outbound::words(node, group),
+            Of::Targets => outbound::notices(node, group),
         },
     }
 }
 
 pub(super) fn from_reply(node: &Node, reply: CapReply) -> Reply {
-    outbound::learn(node, &reply.words, "home");
+    outbound::merge_notices(node, &reply.words, "home");
     let lines = reply.lines.into_iter().map(|l| Settled {
         workspace: l.workspace,
         grant: units(l.grant),
@@ -117,7 +117,7 @@
 /// Answers another daemon that settles here.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
     let of = of_wire(message.of());
-    outbound::learn(node, &message.words, &message.from);
+    outbound::merge_notices(node, &message.words, &message.from);
     super::refresh(node, of);
     let call = from_call(message);
     let now = node.now();
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -13,7 +13,7 @@
     flight::Seat,
     keeper::Pick,
     node::{Node, View},
-    outbound::{self, Shut},
+    outbound::{self, UnavailableTargets},
 };
 
 /// How long after a version of an adapter was named the one before still
@@ -139,12 +139,12 @@
     let now = node.now();
     let settings = node.settings();
     let policies = settings.policies;
-    let shut = outbound::Shut::now(node, now);
+    let unavailable = outbound::UnavailableTargets::current(node, now);
     let view = node.view();
     let targets = view.ready_targets(wish.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
-        .filter(|t| wish.open(t) && !shut.sends(&t.id))
+        .filter(|t| wish.open(t) && !unavailable.blocks_sends(&t.id))
         .collect();
     let base = |t: &Target| Choice {
         id: t.id.clone(),
@@ -169,7 +169,7 @@
                 engine,
                 version,
             };
-            let options = engine_choices(node, &view, wish, wanted, &targets, &shut, &base);
+            let options = engine_choices(node, &view, wish, wanted, &targets, &unavailable, &base);
             loaders = options.loaders;
             (options.open, version)
         }
@@ -263,7 +263,7 @@
     wish: &Wish<'_>,
     wanted: Wanted<'_>,
     targets: &[Arc<Target>],
-    shut: &Shut,
+    unavailable: &UnavailableTargets,
     base: &impl Fn(&Target) -> Choice,
 ) -> Options {
     let Wanted {
@@ -318,7 +318,7 @@
         if resident.is_some() && in_use.get(&t.id).is_some_and(|u| u.contains(adapter)) {
             continue;
         }
-        if away || shut.loads(&t.id) {
+        if away || unavailable.blocks_loads(&t.id) {
             continue;
         }
         let held_lease = node.token(&t.domain).is_some();
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn own_news(&self, node: &Node, now: u64) -> News {
-        let words = outbound::words_of_holder(node);
+        let words = outbound::holder_notices(node);
         let mut view = node.view();
         let work = view.board.own().map(|(target, w)| TargetWork {
             target: target.to_string(),
@@ -184,7 +184,7 @@
             self.meet(addr, false);
         }
         wire::hear(node, &news.evidence);
-        outbound::learn(node, &news.words, &from.id);
+        outbound::merge_notices(node, &news.words, &from.id);
         let mut works = self.learn_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
         if how == super::Origin::Answer {
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -15,7 +15,7 @@
 use crate::{
     fleet::parse_key,
     node::{Node, View},
-    outbound::Shut,
+    outbound::UnavailableTargets,
 };
 
 /// Pause between looks: half of the time in which news comes in.
@@ -43,9 +43,9 @@
         let in_use = node.fleet.in_use(now);
         due(&view, &in_use, now)
     };
-    let shut = Shut::now(node, now);
+    let unavailable = UnavailableTargets::current(node, now);
     for copy in due {
-        if node.token(&copy.target.domain).is_none() || shut.loads(&copy.target.id) {
+        if node.token(&copy.target.domain).is_none() || unavailable.blocks_loads(&copy.target.id) {
             continue;
         }
         let id = &copy.target.id;
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -47,7 +47,7 @@
     /// Does what can be done now; returns when to look again.
     pub(super) async fn advance(&mut self) -> u64 {
         let now = self.node.now();
-        if let Some(closed) = outbound::closed(&self.node, &self.target.id) {
+        if let Some(closed) = outbound::unavailable(&self.node, &self.target.id) {
             self.set_aside();
             return now + closed.retry_ms;
         }
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -12,7 +12,7 @@
 use comfreyhall_protocol::TargetWord;
 use comfreyhall_workspace::{Kept, home_group};
 
-use super::{log, shut::closed};
+use super::{log, shut::unavailable};
 use crate::{
     caps::{self, Credit, Of, Refused},
     node::Node,
@@ -69,7 +69,7 @@
 /// the target is limited, or `None` if it takes nothing now.
 pub(crate) fn grant(node: &Node, target: &Name) -> Option<bool> {
     let now = node.now();
-    if closed(node, target).is_some() {
+    if unavailable(node, target).is_some() {
         return None;
     }
     match node.outbound.gates().limit(target, now) {
@@ -96,17 +96,17 @@
 }
 
 /// What targets of `group` told this daemon itself.
-pub(crate) fn own_words(node: &Node, group: &str) -> Vec<TargetWord> {
+pub(crate) fn own_notices(node: &Node, group: &str) -> Vec<TargetWord> {
     select(node, |word, of| word.own && of == group)
 }
 
 /// What is known of targets of `group`.
-pub(crate) fn words(node: &Node, group: &str) -> Vec<TargetWord> {
+pub(crate) fn notices(node: &Node, group: &str) -> Vec<TargetWord> {
     select(node, |_, of| of == group)
 }
 
 /// What a holder tells everybody of the targets of its groups.
-pub(crate) fn words_of_holder(node: &Node) -> Vec<TargetWord> {
+pub(crate) fn holder_notices(node: &Node) -> Vec<TargetWord> {
     if node.outbound.gates().is_empty() {
         return Vec::new();
     }
@@ -147,7 +147,7 @@
 }
 
 /// Takes in what `from` was told by targets.
-pub(crate) fn learn(node: &Node, words: &[TargetWord], from: &str) {
+pub(crate) fn merge_notices(node: &Node, words: &[TargetWord], from: &str) {
     let now = node.now();
     let mut changed = false;
     for told in words {
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -21,8 +21,8 @@
 use tokio::time::timeout;
 
 pub(crate) use self::{
-    limits::{grant, learn, limits, own_words, words, words_of_holder},
-    shut::{Closed, Shut, closed, leaves, why_shut},
+    limits::{grant, holder_notices, limits, merge_notices, notices, own_notices},
+    shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
     caps::{self, Credit, Of, Refused},
@@ -114,8 +114,8 @@
     node: &Arc<Node>,
     target: &Target,
     granted: bool,
-) -> Result<Permit, Closed> {
-    if let Some(closed) = closed(node, &target.id) {
+) -> Result<Permit, Unavailable> {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(closed);
     }
     if granted {
@@ -125,7 +125,7 @@
     let credit = limits::reserve(node, target).await.map_err(|refused| {
         let (Refused::Over { retry_ms } | Refused::Unsure { retry_ms }) = refused;
         let why = "its limit is used up";
-        Closed { why, retry_ms }
+        Unavailable { why, retry_ms }
     })?;
     Ok(Permit { credit })
 }
@@ -140,7 +140,7 @@
     patience: Duration,
 ) -> Result<Response, SendError> {
     // It may have said so since the permit was taken.
-    if let Some(closed) = closed(node, &target.id) {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(SendError::NotSent(closed.why.into()));
     }
     // From here on it may arrive, also if nobody waits for it any more.
@@ -167,7 +167,7 @@
     command: Command,
     patience: Duration,
 ) -> CommandReply {
-    if closed(node, &target.id).is_some() {
+    if unavailable(node, &target.id).is_some() {
         return CommandReply::Unsent;
     }
     let call = node.backend.command(target.clone(), command);
@@ -183,7 +183,7 @@
     target: &Arc<Target>,
     patience: Duration,
 ) -> Result<Report, ReportError> {
-    if let Some(closed) = closed(node, &target.id) {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(ReportError::NoAnswer(closed.why.into()));
     }
     let call = node.backend.report(target.clone());
--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -15,7 +15,7 @@
 
 /// Why nothing may be sent to a target now, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Closed {
+pub(crate) struct Unavailable {
     /// What it said.
     pub(crate) why: &'static str,
     /// Until it may take something, in ms.
@@ -23,28 +23,28 @@
 }
 
 /// Why `target` takes neither requests nor orders now, whatever its limit.
-pub(crate) fn closed(node: &Node, target: &Name) -> Option<Closed> {
+pub(crate) fn unavailable(node: &Node, target: &Name) -> Option<Unavailable> {
     let now = node.now();
     let gates = node.outbound.gates();
     if gates.leaves(target, now) {
-        return Some(Closed {
+        return Some(Unavailable {
             why: "it leaves",
             retry_ms: LEAVING_MS,
         });
     }
     let retry_ms = gates.rest_ms(target, now);
     let why = "it asked for rest";
-    (retry_ms > 0).then_some(Closed { why, retry_ms })
+    (retry_ms > 0).then_some(Unavailable { why, retry_ms })
 }
 
 /// Whether `target` has said that it leaves.
-pub(crate) fn leaves(node: &Node, target: &Name) -> bool {
+pub(crate) fn is_draining(node: &Node, target: &Name) -> bool {
     node.outbound.gates().leaves(target, node.now())
 }
 
 /// What the first few of `targets` said, for the log: a fleet of hundreds must
 /// not fill it with one line.
-pub(crate) fn why_shut(node: &Node, targets: &[Arc<Target>], now: u64) -> String {
+pub(crate) fn describe_unavailable(node: &Node, targets: &[Arc<Target>], now: u64) -> String {
     let gates = node.outbound.gates();
     let said = targets.iter().take(NAMED).map(|t| {
         let id = &t.id;
@@ -67,48 +67,48 @@
 
 /// Targets that take nothing now, or nothing more to hold.
 #[derive(Debug, Default)]
-pub(crate) struct Shut {
+pub(crate) struct UnavailableTargets {
     /// Those to which nothing may be sent, and for how many ms.
     sends: Map<Name, u64>,
     /// Those that are to load nothing more.
     loads: Set<Name>,
 }
 
-impl Shut {
+impl UnavailableTargets {
     /// As far as is known here.
-    pub(crate) fn now(node: &Node, now: u64) -> Self {
-        let mut shut = Self::default();
+    pub(crate) fn current(node: &Node, now: u64) -> Self {
+        let mut targets = Self::default();
         let gates = node.outbound.gates();
         for (target, _) in gates.leaving(now) {
-            shut.sends.insert(target.clone(), LEAVING_MS);
-            shut.loads.insert(target.clone());
+            targets.sends.insert(target.clone(), LEAVING_MS);
+            targets.loads.insert(target.clone());
         }
         for (target, ms) in gates.resting(now) {
-            let known = shut.sends.entry(target.clone()).or_default();
+            let known = targets.sends.entry(target.clone()).or_default();
             *known = ms.max(*known);
-            shut.loads.insert(target.clone());
+            targets.loads.insert(target.clone());
         }
         for (target, _) in gates.limited(now) {
             let ms = node.target_limits.closed_ms(target, now);
             if ms > 0 {
-                let known = shut.sends.entry(target.clone()).or_default();
+                let known = targets.sends.entry(target.clone()).or_default();
                 *known = ms.max(*known);
             }
             if !node.target_limits.spare(target, now) {
-                shut.loads.insert(target.clone());
+                targets.loads.insert(target.clone());
             }
         }
-        shut
+        targets
     }
 
     /// Whether nothing may be sent to `target`.
-    pub(crate) fn sends(&self, target: &Name) -> bool {
+    pub(crate) fn blocks_sends(&self, target: &Name) -> bool {
         self.sends.contains_key(target)
     }
 
     /// Whether `target` is to load nothing more: it takes less than it is asked
     /// for already.
-    pub(crate) fn loads(&self, target: &Name) -> bool {
+    pub(crate) fn blocks_loads(&self, target: &Name) -> bool {
         self.loads.contains(target)
     }
 
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -157,7 +157,7 @@
 /// Whether `target` is to stay: one that leaves ends whatever it runs, and its
 /// entry may go before it does. One that crashes is listed for some seconds.
 fn stays(node: &Node, target: &Name) -> bool {
-    if outbound::leaves(node, target) {
+    if outbound::is_draining(node, target) {
         return false;
     }
     let view = node.view();
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -100,7 +100,7 @@
     pub(super) fn turn_away(&self, ask: &Ask, config: u64, why: Turned) -> Reply {
         let (reply, refusal) = match why {
             Turned::NoRoute => (Reply::NoRoute, "no route"),
-            Turned::NoKey => (Reply::NoKey, "unknown key"),
+            Turned::NoKey => (Reply::UnknownKey, "unknown key"),
             Turned::Unsure => {
                 let retry_ms = NOT_READY_MS;
                 (Reply::NotReady { retry_ms }, "newer settings may allow it")
@@ -207,7 +207,7 @@
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
         match self.verdict.doubt {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
-            false => Reply::NoKey,
+            false => Reply::UnknownKey,
         }
     }
 
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -69,11 +69,11 @@
     NoRoute,
     /// The caller's key belongs to nobody: the request has not run and never
     /// will.
-    NoKey,
+    UnknownKey,
     /// No target answered.
     Unanswered(Answer),
     /// A target's whole answer.
-    Whole {
+    Complete {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -82,7 +82,7 @@
         body: Bytes,
     },
     /// A target's stream.
-    Events {
+    Stream {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -455,7 +455,7 @@
     ];
     match promises.contains(&status) {
         true => Reply::Unanswered(Answer::Unknown),
-        false => Reply::Whole {
+        false => Reply::Complete {
             status,
             headers,
             body,
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -12,7 +12,7 @@
 use crate::{
     choose::{self, Plan},
     flight::{Flight, Seat},
-    outbound::{self, Permit, Shut},
+    outbound::{self, Permit, UnavailableTargets},
     ports::{Body, BodyError, Response, SendError, SendOptions},
     relay::Relay,
 };
@@ -71,9 +71,9 @@
     /// Ms until one of its targets may take something, if none does now.
     pub(super) fn shut_ms(&self) -> Option<u64> {
         let now = self.node.now();
-        let shut = Shut::now(&self.node, now);
+        let unavailable = UnavailableTargets::current(&self.node, now);
         let ready = self.node.view().ready_targets(&self.service, now);
-        shut.all_ms(ready.iter().map(|t| &t.id))
+        unavailable.all_ms(ready.iter().map(|t| &t.id))
     }
 
     /// One line on why none of its targets takes anything, but for a flood of them.
@@ -83,7 +83,7 @@
             return;
         };
         let ready = self.node.view().ready_targets(&self.service, now);
-        let targets = outbound::why_shut(&self.node, &ready, now);
+        let targets = outbound::describe_unavailable(&self.node, &ready, now);
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, targets, left_out; "targets take nothing");
     }
 
@@ -265,7 +265,7 @@
                 let job = self.take();
                 self.node.metrics.first(job.first);
                 let body = relay.run(job);
-                Next::Reply(Reply::Events {
+                Next::Reply(Reply::Stream {
                     status,
                     headers,
                     body,
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -494,7 +494,7 @@
 
 pub async fn got(reply: Reply) -> Got {
     match reply {
-        Reply::Whole { status, .. } => Got::Whole(status.as_u16()),
+        Reply::Complete { status, .. } => Got::Whole(status.as_u16()),
         Reply::NotReady { .. } | Reply::Unanswered(Answer::NotRun { .. }) => Got::NotRun,
         Reply::Unanswered(Answer::TimedOut) => Got::TimedOut,
         Reply::Unanswered(Answer::Unknown) => Got::Unknown,
@@ -502,9 +502,9 @@
             Got::Quarantined(may_have_run)
         }
         Reply::NoRoute => Got::Other,
-        Reply::NoKey => Got::NoKey,
+        Reply::UnknownKey => Got::NoKey,
         Reply::Unanswered(Answer::OverCap { .. }) => Got::OverCap,
-        Reply::Events { mut body, .. } => {
+        Reply::Stream { mut body, .. } => {
             let mut ids = Vec::new();
             while let Some(piece) = body.next().await {
                 let Ok(bytes) = piece else {
