--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -6,7 +6,7 @@
 use crate::{
     node::Node,
     ports::{Record, RecordBatch, Topic},
-    quiet::node,
+    test_node::node,
 };
 
 fn put(node: &Node, key: &str, value: &'static str, version: u64) {
--- a/crates/comfreyhall-node/src/fleet/fetch/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch/tests.rs
@@ -6,7 +6,7 @@
     facts::{self, Provenance},
     node::Node,
     ports::{Record, RecordBatch, Topic},
-    quiet::node,
+    test_node::node,
 };
 
 fn ask(port: u16) -> SettingsAsk {
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -7,7 +7,7 @@
     facts::{self, Provenance},
     node::Node,
     ports::{Record, RecordBatch, Topic},
-    quiet::node,
+    test_node::node,
 };
 
 fn daemon(port: u16) -> Daemon {
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -2,7 +2,7 @@
 use comfreyhall_routing::Standing;
 
 use super::due;
-use crate::{node::View, quiet::target};
+use crate::{node::View, test_node::target};
 
 fn engine(id: &str) -> Target {
     Target {
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::{Pick, Wish, ensure};
-use crate::quiet::node;
+use crate::test_node::node;
 
 /// Symptom: an engine that was gone was asked again by every request. Events:
 /// its keeper finds that it takes no orders and lets the wish go, and no other
--- a/crates/comfreyhall-node/src/lib.rs
+++ b/crates/comfreyhall-node/src/lib.rs
@@ -49,6 +49,6 @@
 }
 
 #[cfg(test)]
-mod quiet;
+mod test_node;
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-node/src/quiet.rs
+++ b/crates/comfreyhall-node/src/test_node.rs
@@ -14,7 +14,7 @@
     },
 };
 
-struct Quiet;
+struct Unresponsive;
 
 /// A target that is ready and holds nothing.
 pub(crate) fn target(id: &str) -> Target {
@@ -50,7 +50,7 @@
     })
 }
 
-impl Source for Quiet {
+impl Source for Unresponsive {
     fn read(&self, _: Topic) -> BoxFuture<'_, Result<PendingBatch, SourceError>> {
         std::future::pending().boxed()
     }
@@ -74,7 +74,7 @@
     }
 }
 
-impl Backend for Quiet {
+impl Backend for Unresponsive {
     fn send(
         &self,
         _: Arc<Target>,
@@ -111,5 +111,5 @@
                 retry_ratio: 0.2, retry_allowance: 54, retry_s: 10, fencing: true, return_s: 2 },
     }"#;
     let settings = NodeSettings::parse(text, "test").unwrap();
-    Node::new(settings, Arc::new(Quiet), Arc::new(Quiet))
+    Node::new(settings, Arc::new(Unresponsive), Arc::new(Unresponsive))
 }
--- a/crates/comfreyhall-node/tests/bind.rs
+++ b/crates/comfreyhall-node/tests/bind.rs
@@ -114,18 +114,21 @@
     let table = FakeTable::default();
     let theirs = Lease::new(table.clone(), "d", "h".into(), Duration::from_secs(3));
     theirs.step(Instant::now, true).await.unwrap();
-    let mut world = scenery(route(Kind::Stream, 1, false), Some(engine()));
+    let mut world = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
     let targets = &mut Arc::get_mut(&mut world).unwrap().targets;
     targets[0].held[0].adapters = vec![("a1".into(), 1)];
-    let script = Arc::new(Script::default());
-    *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
+    let script = Arc::new(ScriptedBackend::default());
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let settings = settings_of("n", "127.0.0.1:1", &[holder], 0.25);
     let node = Node::new(settings, world, script.clone());
     comfreyhall_node::spawn(&node, table);
     until(|| node.ready() && node.addresses().0.len() == 2).await;
     let reply = node.serve(model_ask("q", Some("a1"))).await;
-    assert_eq!(got(reply).await, Got::Stream(vec![1], true));
-    assert_eq!(&*script.seen.lock().unwrap()[0].target, "a");
+    assert_eq!(
+        caller_result(reply).await,
+        CallerResult::Stream(vec![1], true)
+    );
+    assert_eq!(&*script.sent.lock().unwrap()[0].target, "a");
 }
 
 /// Symptom: engines that looked idle got several prompts at once while others
@@ -133,9 +136,9 @@
 /// others'. Cause: each chose the engine by the news that it had.
 #[tokio::test]
 async fn serve_runs_of_all_daemons_counted() {
-    let world = scenery(route(Kind::Stream, 1, false), Some(engine()));
-    let script = Arc::new(Script::default());
-    *script.always.lock().unwrap() = Some(Act::Mute);
+    let world = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
+    let script = Arc::new(ScriptedBackend::default());
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Hang);
     let table = FakeTable::default();
     let mut listeners = Vec::new();
     for _ in 0..4 {
@@ -159,12 +162,13 @@
     let mut calls = Vec::new();
     for i in 0..12 {
         let node = nodes[i % 4].clone();
-        let call = async move { got(node.serve(model_ask(&format!("q{i}"), None)).await).await };
+        let call =
+            async move { caller_result(node.serve(model_ask(&format!("q{i}"), None)).await).await };
         calls.push(tokio::spawn(call));
-        until(|| script.seen.lock().unwrap().len() > i).await;
+        until(|| script.sent.lock().unwrap().len() > i).await;
     }
     let mut counts: Map<Name, usize> = Map::default();
-    for seen in script.seen.lock().unwrap().iter() {
+    for seen in script.sent.lock().unwrap().iter() {
         *counts.entry(seen.target.clone()).or_default() += 1;
     }
     assert_eq!(counts.get("a"), Some(&6), "{counts:?}");
--- a/crates/comfreyhall-node/tests/caller.rs
+++ b/crates/comfreyhall-node/tests/caller.rs
@@ -21,7 +21,10 @@
 }
 
 /// A daemon that serves `route` for `workspaces`.
-async fn daemon(route: Route, workspaces: Workspaces) -> (Arc<Node>, Arc<Script>, Arc<World>) {
+async fn daemon(
+    route: Route,
+    workspaces: Workspaces,
+) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
     daemon_with(route, workspaces, None).await
 }
 
@@ -30,12 +33,12 @@
     route: Route,
     workspaces: Workspaces,
     revoke_ms: Option<u64>,
-) -> (Arc<Node>, Arc<Script>, Arc<World>) {
-    let mut world = scenery(route, None);
+) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
+    let mut world = scripted_source(route, None);
     let plain = Arc::get_mut(&mut world).unwrap();
     plain.config = with(&plain.config, 1, workspaces);
-    let script = Arc::new(Script::default());
-    *script.always.lock().unwrap() = Some(Act::Answer(200, 0));
+    let script = Arc::new(ScriptedBackend::default());
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Answer(200, 0));
     let mut settings = settings_of("n", "127.0.0.1:1", &[], 0.25);
     settings.bounds.revoke_ms = revoke_ms;
     let node = Node::new(settings, world.clone(), script.clone());
@@ -46,8 +49,8 @@
     (node, script, world)
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> Got {
-    got(node.serve(ask).await).await
+async fn serve(node: &Arc<Node>, ask: Ask) -> CallerResult {
+    caller_result(node.serve(ask).await).await
 }
 
 /// Waits until `version` is in force.
@@ -61,9 +64,12 @@
 #[tokio::test]
 async fn serve_names_workspace_of_key() {
     let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
-    assert_eq!(serve(&node, keyed("r1", "key of b")).await, Got::Whole(200));
-    let seen = script.seen.lock().unwrap()[0].clone();
-    assert_eq!(seen.extra.workspace.as_deref(), Some("b"));
+    assert_eq!(
+        serve(&node, keyed("r1", "key of b")).await,
+        CallerResult::Complete(200)
+    );
+    let seen = script.sent.lock().unwrap()[0].clone();
+    assert_eq!(seen.options.workspace.as_deref(), Some("b"));
 }
 
 /// Guards against callers that are served without a key, or with one that
@@ -71,9 +77,12 @@
 #[tokio::test]
 async fn serve_unknown_key_is_final() {
     let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
-    assert_eq!(serve(&node, keyed("r1", "guess")).await, Got::NoKey);
-    assert_eq!(serve(&node, ask("r2")).await, Got::NoKey);
-    assert!(script.seen.lock().unwrap().is_empty());
+    assert_eq!(
+        serve(&node, keyed("r1", "guess")).await,
+        CallerResult::UnknownKey
+    );
+    assert_eq!(serve(&node, ask("r2")).await, CallerResult::UnknownKey);
+    assert!(script.sent.lock().unwrap().is_empty());
 }
 
 #[tokio::test]
@@ -83,21 +92,33 @@
         ..route(Kind::Safe, 1, false)
     };
     let (node, script, _) = daemon(open, workspaces(&["a"])).await;
-    assert_eq!(serve(&node, ask("r1")).await, Got::Whole(200));
-    assert_eq!(serve(&node, keyed("r2", "guess")).await, Got::Whole(200));
-    let seen = script.seen.lock().unwrap().clone();
-    assert!(seen.iter().all(|s| s.extra.workspace.is_none()));
+    assert_eq!(serve(&node, ask("r1")).await, CallerResult::Complete(200));
+    assert_eq!(
+        serve(&node, keyed("r2", "guess")).await,
+        CallerResult::Complete(200)
+    );
+    let seen = script.sent.lock().unwrap().clone();
+    assert!(seen.iter().all(|s| s.options.workspace.is_none()));
 }
 
 /// Guards against keys that go on working after they were taken back.
 #[tokio::test]
 async fn serve_key_taken_back() {
     let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
-    assert_eq!(serve(&node, keyed("r1", "key of b")).await, Got::Whole(200));
+    assert_eq!(
+        serve(&node, keyed("r1", "key of b")).await,
+        CallerResult::Complete(200)
+    );
     world.publish(with(&world.config, 2, workspaces(&["a"])));
     until_in_force(&node, 2).await;
-    assert_eq!(serve(&node, keyed("r2", "key of b")).await, Got::NoKey);
-    assert_eq!(serve(&node, keyed("r3", "key of a")).await, Got::Whole(200));
+    assert_eq!(
+        serve(&node, keyed("r2", "key of b")).await,
+        CallerResult::UnknownKey
+    );
+    assert_eq!(
+        serve(&node, keyed("r3", "key of a")).await,
+        CallerResult::Complete(200)
+    );
 }
 
 /// Guards against a request that is sent once more after its key was taken back
@@ -105,20 +126,20 @@
 #[tokio::test]
 async fn serve_key_taken_back_while_it_waits() {
     let (node, script, world) = daemon(route(Kind::Safe, 2, false), workspaces(&["a", "b"])).await;
-    let full = Act::Refuse(comfreyhall_domain::Refusal::Full);
-    *script.always.lock().unwrap() = Some(full);
+    let full = Behavior::Refuse(comfreyhall_domain::Refusal::Full);
+    *script.default_behavior.lock().unwrap() = Some(full);
     let waits = tokio::spawn({
         let node = node.clone();
         async move { serve(&node, keyed("r1", "key of b")).await }
     });
-    while script.seen.lock().unwrap().is_empty() {
+    while script.sent.lock().unwrap().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     world.publish(with(&world.config, 2, workspaces(&["a"])));
     until_in_force(&node, 2).await;
-    let sends = script.seen.lock().unwrap().len();
-    assert_eq!(waits.await.unwrap(), Got::NoKey);
-    assert!(script.seen.lock().unwrap().len() <= sends + 1);
+    let sends = script.sent.lock().unwrap().len();
+    assert_eq!(waits.await.unwrap(), CallerResult::UnknownKey);
+    assert!(script.sent.lock().unwrap().len() <= sends + 1);
 }
 
 /// Guards against a final refusal of a key that was given out a moment ago: a
@@ -126,21 +147,21 @@
 #[tokio::test]
 async fn serve_unknown_key_of_lagging_daemon_may_return() {
     let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
-    world.deaf.store(true, Ordering::SeqCst);
+    world.unavailable.store(true, Ordering::SeqCst);
     let mut told = serve(&node, keyed("r0", "key of new")).await;
     for round in 1..200 {
-        if told == Got::NotRun {
+        if told == CallerResult::NotRun {
             break;
         }
-        assert_eq!(told, Got::NoKey);
+        assert_eq!(told, CallerResult::UnknownKey);
         tokio::time::sleep(Duration::from_millis(50)).await;
         told = serve(&node, keyed(&format!("r{round}"), "key of new")).await;
     }
-    assert_eq!(told, Got::NotRun);
+    assert_eq!(told, CallerResult::NotRun);
     // What was known goes on.
     assert_eq!(
         serve(&node, keyed("last", "key of a")).await,
-        Got::Whole(200)
+        CallerResult::Complete(200)
     );
 }
 
@@ -150,19 +171,22 @@
 async fn serve_keys_lapse_without_store() {
     let route = route(Kind::Safe, 1, false);
     let (node, script, world) = daemon_with(route, workspaces(&["a"]), Some(300)).await;
-    world.deaf.store(true, Ordering::SeqCst);
-    let mut told = Got::Whole(200);
+    world.unavailable.store(true, Ordering::SeqCst);
+    let mut told = CallerResult::Complete(200);
     for round in 0..200 {
         told = serve(&node, keyed(&format!("r{round}"), "key of a")).await;
-        if told == Got::NotRun {
+        if told == CallerResult::NotRun {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(told, Got::NotRun);
-    let sends = script.seen.lock().unwrap().len();
-    assert_eq!(serve(&node, keyed("last", "key of a")).await, Got::NotRun);
-    assert_eq!(script.seen.lock().unwrap().len(), sends);
+    assert_eq!(told, CallerResult::NotRun);
+    let sends = script.sent.lock().unwrap().len();
+    assert_eq!(
+        serve(&node, keyed("last", "key of a")).await,
+        CallerResult::NotRun
+    );
+    assert_eq!(script.sent.lock().unwrap().len(), sends);
 }
 
 /// A workspace with a cap of `rate` requests a second and as many at once.
@@ -186,7 +210,7 @@
     while answered == 0 {
         tokio::time::sleep(Duration::from_millis(50)).await;
         let got = serve(&node, keyed("first", "key of a")).await;
-        answered = usize::from(got == Got::Whole(200));
+        answered = usize::from(got == CallerResult::Complete(200));
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let began = tokio::time::Instant::now();
@@ -195,8 +219,11 @@
         told.push(serve(&node, keyed(&format!("r{round}"), "key of a")).await);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let ran = told.iter().filter(|t| **t == Got::Whole(200)).count();
-    let refused = told.iter().filter(|t| **t == Got::OverCap).count();
+    let ran = told
+        .iter()
+        .filter(|t| **t == CallerResult::Complete(200))
+        .count();
+    let refused = told.iter().filter(|t| **t == CallerResult::OverCap).count();
     assert_eq!(ran + refused, told.len(), "{told:?}");
     let passed = began.elapsed().as_secs_f64();
     // What may lie unused: the burst, and half of what is tolerated.
@@ -205,22 +232,23 @@
     assert!(refused > 0);
     assert_eq!(
         serve(&node, keyed("other", "key of b")).await,
-        Got::Whole(200)
+        CallerResult::Complete(200)
     );
-    assert!(script.seen.lock().unwrap().len() < told.len());
+    assert!(script.sent.lock().unwrap().len() < told.len());
 }
 
 /// Guards against credit that is lost with requests that did not run.
 #[tokio::test]
 async fn serve_refused_by_targets_keeps_credit() {
     let (node, script, _) = daemon(route(Kind::Safe, 1, false), capped(3.0)).await;
-    while serve(&node, keyed("first", "key of a")).await != Got::Whole(200) {
+    while serve(&node, keyed("first", "key of a")).await != CallerResult::Complete(200) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    *script.always.lock().unwrap() = Some(Act::Refuse(comfreyhall_domain::Refusal::Other));
+    *script.default_behavior.lock().unwrap() =
+        Some(Behavior::Refuse(comfreyhall_domain::Refusal::Other));
     for round in 0..40 {
         let told = serve(&node, keyed(&format!("r{round}"), "key of a")).await;
-        assert_eq!(told, Got::NotRun, "round {round}");
+        assert_eq!(told, CallerResult::NotRun, "round {round}");
     }
 }
--- a/crates/comfreyhall-node/tests/fleet.rs
+++ b/crates/comfreyhall-node/tests/fleet.rs
@@ -21,7 +21,7 @@
 const DAEMONS: usize = 20;
 
 /// A platform whose store turns one daemon away.
-struct Away(Arc<World>);
+struct Away(Arc<ScriptedSource>);
 
 impl Source for Away {
     fn read(&self, _: Topic) -> BoxFuture<'_, Result<PendingBatch, SourceError>> {
@@ -43,7 +43,7 @@
 }
 
 /// Starts the fleet; the store turns the last daemon away.
-async fn fleet(world: &Arc<World>, script: &Arc<Script>) -> Vec<Arc<Node>> {
+async fn fleet(world: &Arc<ScriptedSource>, script: &Arc<ScriptedBackend>) -> Vec<Arc<Node>> {
     let table = comfreyhall_fakes::FakeTable::default();
     let mut listeners = Vec::new();
     for _ in 0..DAEMONS {
@@ -79,10 +79,10 @@
 #[tokio::test]
 async fn news_reaches_all_through_holders() {
     let route = route(Kind::Stream, 1, false);
-    let world = scenery(route, Some(engine()));
-    let script = Arc::new(Script::default());
-    script.loads.store(true, Ordering::SeqCst);
-    *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
+    let world = scripted_source(route, Some(engine()));
+    let script = Arc::new(ScriptedBackend::default());
+    script.finish_loads.store(true, Ordering::SeqCst);
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let nodes = fleet(&world, &script).await;
     for node in &nodes {
         until(|| node.ready()).await;
@@ -96,9 +96,12 @@
         adapter: Some("a1".into()),
     });
     let last = &nodes[DAEMONS - 1];
-    assert_eq!(got(last.serve(ask).await).await, Got::Stream(vec![1], true));
+    assert_eq!(
+        caller_result(last.serve(ask).await).await,
+        CallerResult::Stream(vec![1], true)
+    );
     // One holder gave all orders.
-    let orders = script.orders.lock().unwrap();
+    let orders = script.commands.lock().unwrap();
     let first = &orders[0].holder;
     assert!(orders.iter().all(|o| o.holder == *first), "{orders:?}");
 }
@@ -109,15 +112,15 @@
 /// Cause: what was found stayed with those who found it.
 #[tokio::test]
 async fn deadly_request_known_through_holders() {
-    let mut world = scenery(route(Kind::Stream, 1, false), Some(engine()));
+    let mut world = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
     let targets = &mut Arc::get_mut(&mut world).unwrap().targets;
     let more = ["c", "d", "e"].map(|id| comfreyhall_domain::Target {
         held: vec![held("m")],
         ..target(id)
     });
     targets.extend(more);
-    let script = Arc::new(Script::default());
-    *script.always.lock().unwrap() = Some(Act::Ends);
+    let script = Arc::new(ScriptedBackend::default());
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Exit);
     let nodes = fleet(&world, &script).await;
     for node in &nodes {
         until(|| node.ready()).await;
@@ -134,18 +137,21 @@
     };
     // Each end is seen by another daemon.
     for node in nodes[5..8].iter().cycle() {
-        let ended = script.ended.lock().unwrap().clone();
+        let ended = script.exited_targets.lock().unwrap().clone();
         if ended.iter().collect::<HashSet<_>>().len() == 3 {
             break;
         }
-        assert_eq!(got(node.serve(deadly()).await).await, Got::Unknown);
+        assert_eq!(
+            caller_result(node.serve(deadly()).await).await,
+            CallerResult::Unknown
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // What is sent from now on proves nothing.
-    let full = Act::Refuse(comfreyhall_domain::Refusal::Full);
-    *script.always.lock().unwrap() = Some(full);
+    let full = Behavior::Refuse(comfreyhall_domain::Refusal::Full);
+    *script.default_behavior.lock().unwrap() = Some(full);
     for node in &nodes {
-        while got(node.serve(deadly()).await).await != Got::Quarantined(false) {
+        while caller_result(node.serve(deadly()).await).await != CallerResult::Quarantined(false) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/comfreyhall-node/tests/place.rs
+++ b/crates/comfreyhall-node/tests/place.rs
@@ -21,12 +21,12 @@
 #[tokio::test]
 async fn serve_loads_adapter_first() {
     let route = route(Kind::Stream, 1, false);
-    let acts = vec![Act::Stream(vec![1], true)];
-    let (node, script, _) = world(route, Some(engine()), acts).await;
-    script.loads.store(true, Ordering::SeqCst);
-    let got = got(node.serve(adapter_ask("q")).await).await;
-    assert_eq!(got, Got::Stream(vec![1], true));
-    let orders = script.orders.lock().unwrap();
+    let acts = vec![Behavior::Stream(vec![1], true)];
+    let (node, script, _) = start_node_with(route, Some(engine()), acts).await;
+    script.finish_loads.store(true, Ordering::SeqCst);
+    let got = caller_result(node.serve(adapter_ask("q")).await).await;
+    assert_eq!(got, CallerResult::Stream(vec![1], true));
+    let orders = script.commands.lock().unwrap();
     assert!(
         orders
             .iter()
@@ -43,18 +43,18 @@
 async fn serve_target_left_while_waiting() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    let (node, script, world) = world(long, Some(engine()), Vec::new()).await;
-    *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
-    let call = tokio::spawn(async move { got(node.serve(adapter_ask("q")).await).await });
-    while script.orders.lock().unwrap().is_empty() {
+    let (node, script, world) = start_node_with(long, Some(engine()), Vec::new()).await;
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let call = tokio::spawn(async move { caller_result(node.serve(adapter_ask("q")).await).await });
+    while script.commands.lock().unwrap().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     // Both say that they leave: the request must go to neither.
-    *world.leaving.lock().unwrap() = vec!["a".into(), "b".into()];
+    *world.draining.lock().unwrap() = vec!["a".into(), "b".into()];
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    script.loads.store(true, Ordering::SeqCst);
-    assert_eq!(call.await.unwrap(), Got::NotRun);
-    assert!(script.seen.lock().unwrap().is_empty());
+    script.finish_loads.store(true, Ordering::SeqCst);
+    assert_eq!(call.await.unwrap(), CallerResult::NotRun);
+    assert!(script.sent.lock().unwrap().is_empty());
 }
 
 /// Symptom: for ten seconds the engines of a fleet of 60 loaded 12 adapters a
@@ -66,27 +66,27 @@
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 4_000;
-    let acts = vec![Act::Stream(vec![1], true)];
-    let (node, script, _) = world(long, Some(engine()), acts).await;
-    script.loads.store(true, Ordering::SeqCst);
+    let acts = vec![Behavior::Stream(vec![1], true)];
+    let (node, script, _) = start_node_with(long, Some(engine()), acts).await;
+    script.finish_loads.store(true, Ordering::SeqCst);
     // Their first reports are no part of this.
-    while script.reports.load(Ordering::SeqCst) < 2 {
+    while script.report_count.load(Ordering::SeqCst) < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    script.unanswered.store(2, Ordering::SeqCst);
-    let got = got(node.serve(adapter_ask("q")).await).await;
-    assert_eq!(got, Got::Stream(vec![1], true));
-    let orders = script.orders.lock().unwrap();
+    script.unanswered_commands.store(2, Ordering::SeqCst);
+    let got = caller_result(node.serve(adapter_ask("q")).await).await;
+    assert_eq!(got, CallerResult::Stream(vec![1], true));
+    let orders = script.commands.lock().unwrap();
     let expected: Vec<u64> = orders.iter().map(|o| o.expected_sequence).collect();
     // The third is accepted; the one after it looks whether the load is done.
     assert_eq!(expected[..4], [0, 0, 0, 1], "{orders:?}");
-    assert_eq!(script.reports.load(Ordering::SeqCst), 2);
+    assert_eq!(script.report_count.load(Ordering::SeqCst), 2);
 }
 
 /// Targets that were ordered to load `adapter`.
-fn loaders(script: &Script, adapter: &str) -> Vec<comfreyhall_domain::Name> {
-    let orders = script.orders.lock().unwrap();
-    let ordered = script.ordered.lock().unwrap();
+fn loaders(script: &ScriptedBackend, adapter: &str) -> Vec<comfreyhall_domain::Name> {
+    let orders = script.commands.lock().unwrap();
+    let ordered = script.command_targets.lock().unwrap();
     let of =
         |o: &Command| o.action == Action::Load && o.adapter.adapter.as_deref() == Some(adapter);
     let both = orders.iter().zip(ordered.iter());
@@ -113,15 +113,16 @@
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 4_000;
-    let (node, script, _) = world(long, Some(engine()), Vec::new()).await;
-    *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
-    let call = tokio::spawn(async move { got(node.serve(ask_for("q", "a1")).await).await });
-    while script.orders.lock().unwrap().is_empty() {
+    let (node, script, _) = start_node_with(long, Some(engine()), Vec::new()).await;
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let call =
+        tokio::spawn(async move { caller_result(node.serve(ask_for("q", "a1")).await).await });
+    while script.commands.lock().unwrap().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(900)).await;
-    script.loads.store(true, Ordering::SeqCst);
-    assert_eq!(call.await.unwrap(), Got::Stream(vec![1], true));
+    script.finish_loads.store(true, Ordering::SeqCst);
+    assert_eq!(call.await.unwrap(), CallerResult::Stream(vec![1], true));
     assert_eq!(loaders(&script, "a1").len(), 1);
 }
 
@@ -134,27 +135,31 @@
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 8_000;
-    let acts = vec![Act::Mute, Act::Mute, Act::Stream(vec![1], true)];
-    let (node, script, _) = world(long, Some(engine()), acts).await;
-    script.loads.store(true, Ordering::SeqCst);
+    let acts = vec![
+        Behavior::Hang,
+        Behavior::Hang,
+        Behavior::Stream(vec![1], true),
+    ];
+    let (node, script, _) = start_node_with(long, Some(engine()), acts).await;
+    script.finish_loads.store(true, Ordering::SeqCst);
     let mut held = Vec::new();
     for (i, adapter) in ["x", "y"].into_iter().enumerate() {
         let node = node.clone();
         held.push(tokio::spawn(async move {
-            got(node.serve(ask_for(adapter, adapter)).await).await
+            caller_result(node.serve(ask_for(adapter, adapter)).await).await
         }));
-        while script.seen.lock().unwrap().len() <= i {
+        while script.sent.lock().unwrap().len() <= i {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let free = script.seen.lock().unwrap()[1].target.clone();
+    let free = script.sent.lock().unwrap()[1].target.clone();
     let waiting = {
         let node = node.clone();
-        tokio::spawn(async move { got(node.serve(ask_for("z", "z")).await).await })
+        tokio::spawn(async move { caller_result(node.serve(ask_for("z", "z")).await).await })
     };
     tokio::time::sleep(Duration::from_millis(700)).await;
     held[1].abort();
-    assert_eq!(waiting.await.unwrap(), Got::Stream(vec![1], true));
+    assert_eq!(waiting.await.unwrap(), CallerResult::Stream(vec![1], true));
     assert_eq!(loaders(&script, "z"), [free]);
     held[0].abort();
 }
--- a/crates/comfreyhall-node/tests/quarantine.rs
+++ b/crates/comfreyhall-node/tests/quarantine.rs
@@ -17,14 +17,17 @@
 const PATIENT_MS: u64 = 60_000;
 
 /// A daemon before five targets.
-async fn daemon(kind: Kind, attempts: u32) -> (Arc<Node>, Arc<Script>, Arc<World>) {
+async fn daemon(
+    kind: Kind,
+    attempts: u32,
+) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
     let mut route = route(kind, attempts, kind == Kind::Stream);
     route.timeout_ms = PATIENT_MS;
-    let mut world = scenery(route, None);
+    let mut world = scripted_source(route, None);
     let plain = Arc::get_mut(&mut world).unwrap();
     plain.targets.extend(["c", "d", "e"].map(target));
     plain.config.workspaces = Some(workspaces(&["a", "b"]));
-    let script = Arc::new(Script::default());
+    let script = Arc::new(ScriptedBackend::default());
     let node = Node::new(
         settings_of("n", "127.0.0.1:1", &[], 0.25),
         world.clone(),
@@ -37,8 +40,8 @@
     (node, script, world)
 }
 
-fn always(script: &Script, act: Act) {
-    *script.always.lock().unwrap() = Some(act);
+fn always(script: &ScriptedBackend, act: Behavior) {
+    *script.default_behavior.lock().unwrap() = Some(act);
 }
 
 /// The same request with an id of its own.
@@ -49,8 +52,8 @@
     ask
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> Got {
-    got(node.serve(ask).await).await
+async fn serve(node: &Arc<Node>, ask: Ask) -> CallerResult {
+    caller_result(node.serve(ask).await).await
 }
 
 /// What the daemon has counted in the series that begins with `series`.
@@ -62,9 +65,15 @@
 }
 
 /// Waits until the daemon knows of all targets that have ended.
-async fn until_known(node: &Node, script: &Script) {
+async fn until_known(node: &Node, script: &ScriptedBackend) {
     loop {
-        let ended: HashSet<Name> = script.ended.lock().unwrap().iter().cloned().collect();
+        let ended: HashSet<Name> = script
+            .exited_targets
+            .lock()
+            .unwrap()
+            .iter()
+            .cloned()
+            .collect();
         if counted(node, r#"quarantine_total{change="suspect""#) >= ended.len() {
             return;
         }
@@ -73,13 +82,13 @@
 }
 
 /// Sends the deadly request until it is held back; the targets it took.
-async fn until_held(node: &Arc<Node>, script: &Script) -> usize {
-    let before = script.seen.lock().unwrap().len();
+async fn until_held(node: &Arc<Node>, script: &ScriptedBackend) -> usize {
+    let before = script.sent.lock().unwrap().len();
     for i in 0..10 {
         let got = serve(node, deadly(&format!("q{i}"))).await;
         until_known(node, script).await;
-        if got == Got::Quarantined(false) {
-            let seen = script.seen.lock().unwrap();
+        if got == CallerResult::Quarantined(false) {
+            let seen = script.sent.lock().unwrap();
             let targets: HashSet<&str> = seen[before..].iter().map(|s| &*s.target).collect();
             return targets.len();
         }
@@ -91,12 +100,15 @@
 async fn serve_deadly_held_after_three_targets() {
     for (kind, attempts) in [(Kind::Safe, 2), (Kind::Unsafe, 1), (Kind::Stream, 2)] {
         let (node, script, _) = daemon(kind, attempts).await;
-        always(&script, Act::Ends);
+        always(&script, Behavior::Exit);
         assert_eq!(until_held(&node, &script).await, 3, "{kind:?}");
         // At once, and whatever id it bears.
-        let sends = script.seen.lock().unwrap().len();
-        assert_eq!(serve(&node, deadly("again")).await, Got::Quarantined(false));
-        assert_eq!(script.seen.lock().unwrap().len(), sends);
+        let sends = script.sent.lock().unwrap().len();
+        assert_eq!(
+            serve(&node, deadly("again")).await,
+            CallerResult::Quarantined(false)
+        );
+        assert_eq!(script.sent.lock().unwrap().len(), sends);
     }
 }
 
@@ -104,9 +116,12 @@
 #[tokio::test]
 async fn serve_deadly_attempt_may_have_run() {
     let (node, script, _) = daemon(Kind::Safe, 4).await;
-    always(&script, Act::Ends);
-    assert_eq!(serve(&node, deadly("q")).await, Got::Quarantined(true));
-    assert_eq!(script.seen.lock().unwrap().len(), 3);
+    always(&script, Behavior::Exit);
+    assert_eq!(
+        serve(&node, deadly("q")).await,
+        CallerResult::Quarantined(true)
+    );
+    assert_eq!(script.sent.lock().unwrap().len(), 3);
 }
 
 /// Guards against one workspace that cannot be served because another's request
@@ -115,9 +130,9 @@
 #[tokio::test]
 async fn serve_same_body_of_others_is_free() {
     let (node, script, _) = daemon(Kind::Safe, 2).await;
-    always(&script, Act::Ends);
+    always(&script, Behavior::Exit);
     until_held(&node, &script).await;
-    always(&script, Act::Answer(200, 0));
+    always(&script, Behavior::Answer(200, 0));
     let mut other = deadly("q");
     other.key = keyed("q", "key of b").key;
     let mut path = deadly("q");
@@ -125,13 +140,16 @@
     let mut body = deadly("q");
     body.message.body = Bytes::from_static(b"another");
     for ask in [other, path, body] {
-        assert_eq!(serve(&node, ask).await, Got::Whole(200));
+        assert_eq!(serve(&node, ask).await, CallerResult::Complete(200));
     }
-    assert_eq!(serve(&node, deadly("q")).await, Got::Quarantined(false));
+    assert_eq!(
+        serve(&node, deadly("q")).await,
+        CallerResult::Quarantined(false)
+    );
     let mut header = deadly("q");
     let headers = &mut header.message.headers;
     headers.insert(http::header::AUTHORIZATION, "Bearer other".parse().unwrap());
-    assert_eq!(serve(&node, header).await, Got::Quarantined(false));
+    assert_eq!(serve(&node, header).await, CallerResult::Quarantined(false));
 }
 
 /// Symptom: every request of a failure domain was held back. Events: a switch
@@ -140,12 +158,15 @@
 #[tokio::test]
 async fn serve_closed_by_living_target_is_free() {
     let (node, script, _) = daemon(Kind::Safe, 2).await;
-    always(&script, Act::Closes);
+    always(&script, Behavior::CloseConnection);
     for i in 0..6 {
-        assert_eq!(serve(&node, deadly(&format!("q{i}"))).await, Got::Unknown);
+        assert_eq!(
+            serve(&node, deadly(&format!("q{i}"))).await,
+            CallerResult::Unknown
+        );
     }
-    always(&script, Act::Answer(200, 0));
-    assert_eq!(serve(&node, deadly("q")).await, Got::Whole(200));
+    always(&script, Behavior::Answer(200, 0));
+    assert_eq!(serve(&node, deadly("q")).await, CallerResult::Complete(200));
 }
 
 /// A rack without power answers nothing; its targets are gone, but a request
@@ -153,12 +174,15 @@
 #[tokio::test]
 async fn serve_silent_targets_are_no_evidence() {
     let (node, script, _) = daemon(Kind::Safe, 2).await;
-    always(&script, Act::Lost);
+    always(&script, Behavior::LoseAnswer);
     for i in 0..6 {
-        assert_eq!(serve(&node, deadly(&format!("q{i}"))).await, Got::Unknown);
+        assert_eq!(
+            serve(&node, deadly(&format!("q{i}"))).await,
+            CallerResult::Unknown
+        );
     }
-    always(&script, Act::Answer(200, 0));
-    assert_eq!(serve(&node, deadly("q")).await, Got::Whole(200));
+    always(&script, Behavior::Answer(200, 0));
+    assert_eq!(serve(&node, deadly("q")).await, CallerResult::Complete(200));
 }
 
 /// Symptom: requests that ran while a service was replaced were held back.
@@ -167,36 +191,41 @@
 #[tokio::test]
 async fn serve_leaving_target_is_no_evidence() {
     let (node, script, world) = daemon(Kind::Safe, 2).await;
-    always(&script, Act::Answer(200, 400));
+    always(&script, Behavior::Answer(200, 400));
     let mut calls = Vec::new();
     for i in 0..6 {
         let node = node.clone();
         let call = async move { serve(&node, deadly(&format!("q{i}"))).await };
         calls.push(tokio::spawn(call));
     }
-    while script.seen.lock().unwrap().len() < 6 {
+    while script.sent.lock().unwrap().len() < 6 {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     for call in calls {
-        assert_eq!(call.await.unwrap(), Got::Whole(200));
+        assert_eq!(call.await.unwrap(), CallerResult::Complete(200));
     }
     let all = world.targets.iter().map(|t| t.id.clone());
-    *world.leaving.lock().unwrap() = all.collect();
-    always(&script, Act::Ends);
+    *world.draining.lock().unwrap() = all.collect();
+    always(&script, Behavior::Exit);
     tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
     // Nothing is sent to targets that leave; what they ran taught nothing.
-    assert_eq!(serve(&node, deadly("q")).await, Got::NotRun);
+    assert_eq!(serve(&node, deadly("q")).await, CallerResult::NotRun);
 }
 
 #[tokio::test]
 async fn serve_ran_whole_clears() {
     let (node, script, _) = daemon(Kind::Safe, 1).await;
-    *script.acts.lock().unwrap() = vec![Act::Ends, Act::Ends, Act::Answer(200, 0)];
-    for want in [Got::Unknown, Got::Unknown, Got::Whole(200)] {
+    *script.behaviors.lock().unwrap() =
+        vec![Behavior::Exit, Behavior::Exit, Behavior::Answer(200, 0)];
+    for want in [
+        CallerResult::Unknown,
+        CallerResult::Unknown,
+        CallerResult::Complete(200),
+    ] {
         assert_eq!(serve(&node, deadly("q")).await, want);
         until_known(&node, &script).await;
     }
-    always(&script, Act::Ends);
+    always(&script, Behavior::Exit);
     // Three more are needed; the two before it ran whole do not count.
     assert_eq!(until_held(&node, &script).await, 3);
 }
@@ -206,19 +235,22 @@
 #[tokio::test]
 async fn serve_deadly_stream_not_resumed() {
     let (node, script, _) = daemon(Kind::Stream, 5).await;
-    always(&script, Act::Stream(vec![1, 2], false));
-    *script.ended.lock().unwrap() = ["a", "b", "c", "d", "e"].map(Into::into).to_vec();
+    always(&script, Behavior::Stream(vec![1, 2], false));
+    *script.exited_targets.lock().unwrap() = ["a", "b", "c", "d", "e"].map(Into::into).to_vec();
     let first = serve(&node, deadly("q")).await;
-    assert!(matches!(first, Got::Stream(_, false)), "{first:?}");
-    assert_eq!(script.seen.lock().unwrap().len(), 3);
-    assert_eq!(serve(&node, deadly("r")).await, Got::Quarantined(false));
-    assert_eq!(script.reports.load(Ordering::SeqCst), 0);
+    assert!(matches!(first, CallerResult::Stream(_, false)), "{first:?}");
+    assert_eq!(script.sent.lock().unwrap().len(), 3);
+    assert_eq!(
+        serve(&node, deadly("r")).await,
+        CallerResult::Quarantined(false)
+    );
+    assert_eq!(script.report_count.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
 async fn serve_deadly_is_counted() {
     let (node, script, _) = daemon(Kind::Safe, 1).await;
-    always(&script, Act::Ends);
+    always(&script, Behavior::Exit);
     until_held(&node, &script).await;
     assert_eq!(counted(&node, r#"quarantine_total{change="suspect""#), 3);
     assert_eq!(counted(&node, r#"quarantine_total{change="held_back""#), 1);
--- a/crates/comfreyhall-node/tests/serve.rs
+++ b/crates/comfreyhall-node/tests/serve.rs
@@ -5,20 +5,25 @@
 use comfreyhall_domain::{Kind, Refusal};
 use support::*;
 
-async fn serve(kind: Kind, attempts: u32, resumable: bool, acts: Vec<Act>) -> (Got, usize) {
-    let (node, script) = serving(route(kind, attempts, resumable), acts).await;
+async fn serve(
+    kind: Kind,
+    attempts: u32,
+    resumable: bool,
+    acts: Vec<Behavior>,
+) -> (CallerResult, usize) {
+    let (node, script) = start_node(route(kind, attempts, resumable), acts).await;
     let reply = node.serve(ask("q")).await;
-    let got = got(reply).await;
-    let sends = script.seen.lock().unwrap().len();
+    let got = caller_result(reply).await;
+    let sends = script.sent.lock().unwrap().len();
     (got, sends)
 }
 
 #[tokio::test]
 async fn serve_answer_passes() {
-    let acts = vec![Act::Answer(200, 0)];
+    let acts = vec![Behavior::Answer(200, 0)];
     assert_eq!(
         serve(Kind::Unsafe, 1, false, acts).await,
-        (Got::Whole(200), 1)
+        (CallerResult::Complete(200), 1)
     );
 }
 
@@ -27,25 +32,28 @@
 /// again, or its caller was told that it had not run.
 #[tokio::test]
 async fn serve_unsafe_in_doubt_is_unknown() {
-    let acts = vec![Act::Lost, Act::Answer(200, 0)];
-    assert_eq!(serve(Kind::Unsafe, 2, false, acts).await, (Got::Unknown, 1));
+    let acts = vec![Behavior::LoseAnswer, Behavior::Answer(200, 0)];
+    assert_eq!(
+        serve(Kind::Unsafe, 2, false, acts).await,
+        (CallerResult::Unknown, 1)
+    );
 }
 
 #[tokio::test]
 async fn serve_unsafe_unreached_goes_on() {
-    let acts = vec![Act::Unreached, Act::Answer(200, 0)];
+    let acts = vec![Behavior::Unreachable, Behavior::Answer(200, 0)];
     assert_eq!(
         serve(Kind::Unsafe, 1, false, acts).await,
-        (Got::Whole(200), 2)
+        (CallerResult::Complete(200), 2)
     );
 }
 
 #[tokio::test]
 async fn serve_unsafe_refused_goes_on() {
-    let acts = vec![Act::Refuse(Refusal::Full), Act::Answer(200, 0)];
+    let acts = vec![Behavior::Refuse(Refusal::Full), Behavior::Answer(200, 0)];
     assert_eq!(
         serve(Kind::Unsafe, 2, false, acts).await,
-        (Got::Whole(200), 2)
+        (CallerResult::Complete(200), 2)
     );
 }
 
@@ -55,27 +63,27 @@
 /// Cause: a request that may go nowhere else was sent there every 7 ms.
 #[tokio::test]
 async fn serve_full_target_not_hammered() {
-    let acts = (0..20).map(|_| Act::Refuse(Refusal::Full)).collect();
+    let acts = (0..20).map(|_| Behavior::Refuse(Refusal::Full)).collect();
     let (got, sends) = serve(Kind::Unsafe, 1, false, acts).await;
-    assert_eq!(got, Got::NotRun);
+    assert_eq!(got, CallerResult::NotRun);
     assert!(sends <= 3, "{sends} sends");
 }
 
 #[tokio::test]
 async fn serve_safe_error_tried_elsewhere() {
-    let acts = vec![Act::Answer(500, 0), Act::Answer(200, 0)];
+    let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(200, 0)];
     assert_eq!(
         serve(Kind::Safe, 2, false, acts).await,
-        (Got::Whole(200), 2)
+        (CallerResult::Complete(200), 2)
     );
 }
 
 #[tokio::test]
 async fn serve_safe_last_error_passes() {
-    let acts = vec![Act::Answer(500, 0), Act::Answer(500, 0)];
+    let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(500, 0)];
     assert_eq!(
         serve(Kind::Safe, 2, false, acts).await,
-        (Got::Whole(500), 2)
+        (CallerResult::Complete(500), 2)
     );
 }
 
@@ -85,8 +93,11 @@
 #[tokio::test]
 async fn serve_unproved_promise_is_unknown() {
     for status in [429, 503, 408] {
-        let acts = vec![Act::Unproved(status)];
-        assert_eq!(serve(Kind::Unsafe, 1, false, acts).await, (Got::Unknown, 1));
+        let acts = vec![Behavior::UnprovenFailure(status)];
+        assert_eq!(
+            serve(Kind::Unsafe, 1, false, acts).await,
+            (CallerResult::Unknown, 1)
+        );
     }
 }
 
@@ -94,15 +105,18 @@
 /// target sends a success without its mark. Cause: it was passed on.
 #[tokio::test]
 async fn serve_forged_success_never_passes() {
-    let acts = vec![Act::Forged];
-    assert_eq!(serve(Kind::Unsafe, 1, false, acts).await, (Got::Unknown, 1));
+    let acts = vec![Behavior::UnverifiedSuccess];
+    assert_eq!(
+        serve(Kind::Unsafe, 1, false, acts).await,
+        (CallerResult::Unknown, 1)
+    );
 }
 
 #[tokio::test]
 async fn serve_stream_passes() {
-    let acts = vec![Act::Stream(vec![1, 2, 3], true)];
+    let acts = vec![Behavior::Stream(vec![1, 2, 3], true)];
     let got = serve(Kind::Stream, 1, false, acts).await;
-    assert_eq!(got, (Got::Stream(vec![1, 2, 3], true), 1));
+    assert_eq!(got, (CallerResult::Stream(vec![1, 2, 3], true), 1));
 }
 
 /// Symptom: a listener's session broke off midway. Events: a target stops in
@@ -110,14 +124,14 @@
 #[tokio::test]
 async fn serve_stream_resumed_elsewhere() {
     let acts = vec![
-        Act::Stream(vec![1, 2], false),
-        Act::Stream(vec![3, 4], true),
+        Behavior::Stream(vec![1, 2], false),
+        Behavior::Stream(vec![3, 4], true),
     ];
-    let (node, script) = serving(route(Kind::Stream, 2, true), acts).await;
-    let got = got(node.serve(ask("q")).await).await;
-    assert_eq!(got, Got::Stream(vec![1, 2, 3, 4], true));
-    let seen = script.seen.lock().unwrap();
-    assert_eq!(seen[1].extra.last_event, Some(2));
+    let (node, script) = start_node(route(Kind::Stream, 2, true), acts).await;
+    let got = caller_result(node.serve(ask("q")).await).await;
+    assert_eq!(got, CallerResult::Stream(vec![1, 2, 3, 4], true));
+    let seen = script.sent.lock().unwrap();
+    assert_eq!(seen[1].options.last_event, Some(2));
     assert_ne!(seen[0].target, seen[1].target);
 }
 
@@ -126,9 +140,9 @@
 /// as if it were complete.
 #[tokio::test]
 async fn serve_stream_not_resumable_breaks_off() {
-    let acts = vec![Act::Stream(vec![1, 2], false)];
+    let acts = vec![Behavior::Stream(vec![1, 2], false)];
     let got = serve(Kind::Stream, 2, false, acts).await;
-    assert_eq!(got, (Got::Stream(vec![1, 2], false), 1));
+    assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 1));
 }
 
 /// Symptom: a caller missed a piece in the middle of its stream. Events: the
@@ -137,18 +151,18 @@
 #[tokio::test]
 async fn serve_stream_gap_breaks_off() {
     let acts = vec![
-        Act::Stream(vec![1, 2], false),
-        Act::Stream(vec![4, 5], true),
+        Behavior::Stream(vec![1, 2], false),
+        Behavior::Stream(vec![4, 5], true),
     ];
     let got = serve(Kind::Stream, 2, true, acts).await;
-    assert_eq!(got, (Got::Stream(vec![1, 2], false), 2));
+    assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 2));
 }
 
 #[tokio::test]
 async fn serve_mute_target_times_out() {
-    let acts = vec![Act::Mute];
+    let acts = vec![Behavior::Hang];
     assert_eq!(
         serve(Kind::Unsafe, 1, false, acts).await,
-        (Got::TimedOut, 1)
+        (CallerResult::TimedOut, 1)
     );
 }
--- a/crates/comfreyhall-node/tests/stop.rs
+++ b/crates/comfreyhall-node/tests/stop.rs
@@ -14,8 +14,8 @@
 /// the process ends. Cause: requests were taken until the very end.
 #[tokio::test]
 async fn leave_refuses_before_it_ends() {
-    let (node, script) = serving(route(Kind::Safe, 1, false), Vec::new()).await;
-    *script.always.lock().unwrap() = Some(Act::Answer(200, 400));
+    let (node, script) = start_node(route(Kind::Safe, 1, false), Vec::new()).await;
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Answer(200, 400));
     let stopping = node.clone();
     let stop = tokio::spawn(async move {
         leave(&stopping, || {}).await;
@@ -24,9 +24,9 @@
     let mut refused = false;
     while !stop.is_finished() {
         let node = node.clone();
-        let call = tokio::spawn(async move { got(node.serve(ask("q")).await).await });
+        let call = tokio::spawn(async move { caller_result(node.serve(ask("q")).await).await });
         tokio::time::sleep(Duration::from_millis(450)).await;
-        refused |= call.await.unwrap() == Got::NotRun;
+        refused |= call.await.unwrap() == CallerResult::NotRun;
     }
     assert_eq!(stop.await.unwrap(), 0);
     assert!(refused);
@@ -39,15 +39,18 @@
 async fn leave_takes_no_late_stream() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 15_000;
-    let (node, script) = serving(long, Vec::new()).await;
-    *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
+    let (node, script) = start_node(long, Vec::new()).await;
+    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let stopping = node.clone();
     let stop = tokio::spawn(async move { leave(&stopping, || {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut long = ask("early");
     long.left_ms = Some(15_000);
-    let early = got(node.serve(long.clone()).await).await;
-    assert_eq!(early, Got::Stream(vec![1], true));
+    let early = caller_result(node.serve(long.clone()).await).await;
+    assert_eq!(early, CallerResult::Stream(vec![1], true));
     stop.await.unwrap();
-    assert_eq!(got(node.serve(long).await).await, Got::NotRun);
+    assert_eq!(
+        caller_result(node.serve(long).await).await,
+        CallerResult::NotRun
+    );
 }
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -21,25 +21,25 @@
 
 /// What a target does with one send.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Behavior {
     /// Answers whole after so many ms.
     Answer(u16, u64),
     /// Nothing reaches it.
-    Unreached,
+    Unreachable,
     /// It runs and never answers.
-    Mute,
+    Hang,
     /// The answer is lost.
-    Lost,
+    LoseAnswer,
     /// The target closes the connection and ends.
-    Ends,
+    Exit,
     /// The target closes the connection and lives on.
-    Closes,
+    CloseConnection,
     /// Proves that it did not run.
     Refuse(Refusal),
     /// A success without the mark of a target.
-    Forged,
+    UnverifiedSuccess,
     /// A failure with this status and no proof.
-    Unproved(u16),
+    UnprovenFailure(u16),
     /// Streams these ids; then ends whole, or breaks off.
     Stream(Vec<u64>, bool),
 }
@@ -49,31 +49,31 @@
 
 /// One send as targets saw it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct SentRequest {
     pub target: Name,
     pub request: Name,
-    pub extra: SendOptions,
+    pub options: SendOptions,
 }
 
 /// Targets with scripted answers.
 #[derive(Default)]
-pub struct Script {
-    pub acts: Mutex<Vec<Act>>,
-    pub seen: Mutex<Vec<Seen>>,
+pub struct ScriptedBackend {
+    pub behaviors: Mutex<Vec<Behavior>>,
+    pub sent: Mutex<Vec<SentRequest>>,
     /// Used when `acts` is empty.
-    pub always: Mutex<Option<Act>>,
+    pub default_behavior: Mutex<Option<Behavior>>,
     /// Orders to load so far; a load is done at the second look.
-    pub orders: Mutex<Vec<Command>>,
+    pub commands: Mutex<Vec<Command>>,
     /// Targets of the orders, in the same order.
-    pub ordered: Mutex<Vec<Name>>,
+    pub command_targets: Mutex<Vec<Name>>,
     /// Whether loads end.
-    pub loads: std::sync::atomic::AtomicBool,
+    pub finish_loads: std::sync::atomic::AtomicBool,
     /// Orders that get no answer, from the first one on.
-    pub unanswered: std::sync::atomic::AtomicUsize,
+    pub unanswered_commands: std::sync::atomic::AtomicUsize,
     /// Targets that have ended.
-    pub ended: Mutex<Vec<Name>>,
+    pub exited_targets: Mutex<Vec<Name>>,
     /// Reports asked for so far.
-    pub reports: std::sync::atomic::AtomicUsize,
+    pub report_count: std::sync::atomic::AtomicUsize,
 }
 
 fn event(id: u64) -> Bytes {
@@ -96,54 +96,54 @@
     stream::iter([Ok(Bytes::from_static(text.as_bytes()))]).boxed()
 }
 
-impl Backend for Script {
+impl Backend for ScriptedBackend {
     fn send(
         &self,
         target: Arc<Target>,
         ask: Arc<Ask>,
-        extra: SendOptions,
+        options: SendOptions,
     ) -> BoxFuture<'static, Result<Response, SendError>> {
-        self.seen.lock().unwrap().push(Seen {
+        self.sent.lock().unwrap().push(SentRequest {
             target: target.id.clone(),
             request: ask.id.clone(),
-            extra,
+            options,
         });
-        let mut acts = self.acts.lock().unwrap();
+        let mut acts = self.behaviors.lock().unwrap();
         let act = match acts.is_empty() {
-            true => self.always.lock().unwrap().clone(),
+            true => self.default_behavior.lock().unwrap().clone(),
             false => Some(acts.remove(0)),
         };
-        let act = act.unwrap_or(Act::Answer(200, 0));
-        if matches!(act, Act::Ends) {
-            self.ended.lock().unwrap().push(target.id.clone());
+        let act = act.unwrap_or(Behavior::Answer(200, 0));
+        if matches!(act, Behavior::Exit) {
+            self.exited_targets.lock().unwrap().push(target.id.clone());
         }
         async move {
             match act {
-                Act::Answer(status, ms) => {
+                Behavior::Answer(status, ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                     Ok(respond(status, whole("body")))
                 }
-                Act::Unreached => Err(SendError::NotSent("scripted".into())),
-                Act::Lost => Err(SendError::Indeterminate("scripted".into())),
-                Act::Ends | Act::Closes => {
+                Behavior::Unreachable => Err(SendError::NotSent("scripted".into())),
+                Behavior::LoseAnswer => Err(SendError::Indeterminate("scripted".into())),
+                Behavior::Exit | Behavior::CloseConnection => {
                     tokio::time::sleep(LAST).await;
                     Err(SendError::ConnectionClosed("scripted".into()))
                 }
-                Act::Mute => std::future::pending().await,
-                Act::Refuse(refusal) => Ok(Response {
+                Behavior::Hang => std::future::pending().await,
+                Behavior::Refuse(refusal) => Ok(Response {
                     refusal: Some(refusal),
                     verified: false,
                     ..respond(503, whole(""))
                 }),
-                Act::Forged => Ok(Response {
+                Behavior::UnverifiedSuccess => Ok(Response {
                     verified: false,
                     ..respond(200, whole("not a target's"))
                 }),
-                Act::Unproved(status) => Ok(Response {
+                Behavior::UnprovenFailure(status) => Ok(Response {
                     verified: false,
                     ..respond(status, whole(""))
                 }),
-                Act::Stream(ids, ends) => {
+                Behavior::Stream(ids, ends) => {
                     let mut pieces: Vec<BodyChunk> =
                         ids.into_iter().map(|i| Ok(event(i))).collect();
                     if !ends {
@@ -174,13 +174,13 @@
         target: Arc<Target>,
         order: Command,
     ) -> BoxFuture<'static, TargetReply<CommandReply>> {
-        self.ordered.lock().unwrap().push(target.id.clone());
-        let mut orders = self.orders.lock().unwrap();
-        let answered = orders.len() >= self.unanswered.load(Ordering::SeqCst);
-        let first = orders.len() == self.unanswered.load(Ordering::SeqCst);
+        self.command_targets.lock().unwrap().push(target.id.clone());
+        let mut orders = self.commands.lock().unwrap();
+        let answered = orders.len() >= self.unanswered_commands.load(Ordering::SeqCst);
+        let first = orders.len() == self.unanswered_commands.load(Ordering::SeqCst);
         let again = !first && orders.iter().any(|o| o.adapter == order.adapter);
         orders.push(order);
-        let ended = again && self.loads.load(Ordering::SeqCst);
+        let ended = again && self.finish_loads.load(Ordering::SeqCst);
         async move {
             if !answered {
                 std::future::pending::<()>().await;
@@ -197,7 +197,7 @@
         &self,
         _: Arc<Target>,
     ) -> BoxFuture<'static, TargetReply<Result<Report, ReportError>>> {
-        self.reports.fetch_add(1, Ordering::SeqCst);
+        self.report_count.fetch_add(1, Ordering::SeqCst);
         async {
             TargetReply::new(Ok(Report {
                 loaded: vec![held("m")],
@@ -208,7 +208,7 @@
     }
 
     fn probe(&self, target: Arc<Target>) -> BoxFuture<'static, TargetReply<ProbeResult>> {
-        let pulse = match self.ended.lock().unwrap().contains(&target.id) {
+        let pulse = match self.exited_targets.lock().unwrap().contains(&target.id) {
             true => ProbeResult::Gone,
             false => ProbeResult::Alive,
         };
@@ -227,21 +227,21 @@
 }
 
 /// A configuration, and targets that may leave.
-pub struct World {
+pub struct ScriptedSource {
     pub config: Config,
     /// A newer configuration, and whoever waits for one.
-    pub newer: Mutex<Option<Config>>,
-    pub published: Notify,
+    pub published: Mutex<Option<Config>>,
+    pub notify: Notify,
     /// Whether changes of the settings are read at all.
-    pub deaf: AtomicBool,
+    pub unavailable: AtomicBool,
     pub targets: Vec<Target>,
     /// Targets that say that they leave.
-    pub leaving: Mutex<Vec<Name>>,
+    pub draining: Mutex<Vec<Name>>,
 }
 
-impl Source for World {
+impl Source for ScriptedSource {
     fn read(&self, topic: Topic) -> BoxFuture<'_, Result<PendingBatch, SourceError>> {
-        let leaving = self.leaving.lock().unwrap().clone();
+        let leaving = self.draining.lock().unwrap().clone();
         let row = |key: &str| Record {
             key: key.into(),
             value: Some(Bytes::new()),
@@ -265,7 +265,7 @@
             let changed = self.changed(after);
             let facts = match tokio::time::timeout(wait, changed).await {
                 Ok(facts) => facts,
-                Err(_) if self.deaf.load(Ordering::SeqCst) => {
+                Err(_) if self.unavailable.load(Ordering::SeqCst) => {
                     return Err(SourceError::Unavailable("scripted".into()));
                 }
                 Err(_) => RecordBatch {
@@ -283,7 +283,7 @@
             Topic::Settings => Decoded::Config {
                 config: Box::new(match fact.version {
                     1 => self.config.clone(),
-                    _ => self.newer.lock().unwrap().clone().unwrap(),
+                    _ => self.published.lock().unwrap().clone().unwrap(),
                 }),
                 warnings: Vec::new(),
             },
@@ -299,19 +299,24 @@
     }
 }
 
-impl World {
+impl ScriptedSource {
     /// Writes `config` as an operator would.
     pub fn publish(&self, config: Config) {
-        *self.newer.lock().unwrap() = Some(config);
-        self.published.notify_waiters();
+        *self.published.lock().unwrap() = Some(config);
+        self.notify.notify_waiters();
     }
 
     /// The configuration written after `after`, once there is one.
     async fn changed(&self, after: u64) -> RecordBatch {
         loop {
-            let published = self.published.notified();
-            let version = self.newer.lock().unwrap().as_ref().map_or(0, |c| c.version);
-            if version > after && !self.deaf.load(Ordering::SeqCst) {
+            let published = self.notify.notified();
+            let version = self
+                .published
+                .lock()
+                .unwrap()
+                .as_ref()
+                .map_or(0, |c| c.version);
+            if version > after && !self.unavailable.load(Ordering::SeqCst) {
                 let row = Record {
                     key: "config".into(),
                     value: Some(Bytes::new()),
@@ -384,8 +389,8 @@
 }
 
 /// A daemon that serves `route` with targets `a` and `b`.
-pub async fn serving(route: Route, acts: Vec<Act>) -> (Arc<Node>, Arc<Script>) {
-    let (node, script, _) = world(route, None, acts).await;
+pub async fn start_node(route: Route, acts: Vec<Behavior>) -> (Arc<Node>, Arc<ScriptedBackend>) {
+    let (node, script, _) = start_node_with(route, None, acts).await;
     (node, script)
 }
 
@@ -407,7 +412,7 @@
 }
 
 /// A world with `route` and targets `a` and `b`; `engine` makes them engines.
-pub fn scenery(route: Route, engine: Option<Engine>) -> Arc<World> {
+pub fn scripted_source(route: Route, engine: Option<Engine>) -> Arc<ScriptedSource> {
     let mut targets = vec![target("a"), target("b")];
     if engine.is_some() {
         targets.iter_mut().for_each(|t| t.held = vec![held("m")]);
@@ -417,7 +422,7 @@
         connections: 10,
         engine,
     };
-    Arc::new(World {
+    Arc::new(ScriptedSource {
         config: Config {
             version: 1,
             routes: vec![route],
@@ -430,23 +435,23 @@
             },
             workspaces: None,
         },
-        newer: Mutex::default(),
-        published: Notify::new(),
-        deaf: AtomicBool::new(false),
+        published: Mutex::default(),
+        notify: Notify::new(),
+        unavailable: AtomicBool::new(false),
         targets,
-        leaving: Mutex::default(),
+        draining: Mutex::default(),
     })
 }
 
 /// The same with the world it sees.
-pub async fn world(
+pub async fn start_node_with(
     route: Route,
     engine: Option<Engine>,
-    acts: Vec<Act>,
-) -> (Arc<Node>, Arc<Script>, Arc<World>) {
-    let source = scenery(route, engine);
-    let script = Arc::new(Script::default());
-    *script.acts.lock().unwrap() = acts;
+    acts: Vec<Behavior>,
+) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
+    let source = scripted_source(route, engine);
+    let script = Arc::new(ScriptedBackend::default());
+    *script.behaviors.lock().unwrap() = acts;
     let node = Node::new(settings(), source.clone(), script.clone());
     comfreyhall_node::spawn(&node, comfreyhall_fakes::FakeTable::default());
     while !node.ready() {
@@ -476,13 +481,13 @@
 
 /// An answer as a caller sees it.
 #[derive(Debug, PartialEq)]
-pub enum Got {
-    Whole(u16),
+pub enum CallerResult {
+    Complete(u16),
     NotRun,
     TimedOut,
     Unknown,
     /// The key belongs to nobody.
-    NoKey,
+    UnknownKey,
     /// The workspace is over its cap.
     OverCap,
     /// Held back; whether it may have run.
@@ -492,29 +497,29 @@
     Other,
 }
 
-pub async fn got(reply: Reply) -> Got {
+pub async fn caller_result(reply: Reply) -> CallerResult {
     match reply {
-        Reply::Complete { status, .. } => Got::Whole(status.as_u16()),
-        Reply::NotReady { .. } | Reply::Unanswered(Answer::NotRun { .. }) => Got::NotRun,
-        Reply::Unanswered(Answer::TimedOut) => Got::TimedOut,
-        Reply::Unanswered(Answer::Unknown) => Got::Unknown,
+        Reply::Complete { status, .. } => CallerResult::Complete(status.as_u16()),
+        Reply::NotReady { .. } | Reply::Unanswered(Answer::NotRun { .. }) => CallerResult::NotRun,
+        Reply::Unanswered(Answer::TimedOut) => CallerResult::TimedOut,
+        Reply::Unanswered(Answer::Unknown) => CallerResult::Unknown,
         Reply::Unanswered(Answer::Quarantined { may_have_run, .. }) => {
-            Got::Quarantined(may_have_run)
+            CallerResult::Quarantined(may_have_run)
         }
-        Reply::NoRoute => Got::Other,
-        Reply::UnknownKey => Got::NoKey,
-        Reply::Unanswered(Answer::OverCap { .. }) => Got::OverCap,
+        Reply::NoRoute => CallerResult::Other,
+        Reply::UnknownKey => CallerResult::UnknownKey,
+        Reply::Unanswered(Answer::OverCap { .. }) => CallerResult::OverCap,
         Reply::Stream { mut body, .. } => {
             let mut ids = Vec::new();
             while let Some(piece) = body.next().await {
                 let Ok(bytes) = piece else {
-                    return Got::Stream(ids, false);
+                    return CallerResult::Stream(ids, false);
                 };
                 let text = String::from_utf8(bytes.to_vec()).unwrap();
                 let found = text.lines().filter_map(|l| l.strip_prefix("id: "));
                 ids.extend(found.map(|i| i.parse::<u64>().unwrap()));
             }
-            Got::Stream(ids, true)
+            CallerResult::Stream(ids, true)
         }
     }
 }
