--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -56,8 +56,8 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.asked(&adapter_key(adapter), groups, now) {
-        view.heat(adapter, now);
+    if view.count_bind(&adapter_key(adapter), groups, now) {
+        view.mark_hot(adapter, now);
     }
 }
 
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -44,7 +44,7 @@
         .into(),
         words: match of {
             QuotaKind::Workspaces => Vec::new(),
-            QuotaKind::Targets => outbound::own_words(node, &call.group),
+            QuotaKind::Targets => outbound::own_notices(node, &call.group),
         },
     }
 }
@@ -92,13 +92,13 @@
         lines: lines.collect(),
         words: match of {
             QuotaKind::Workspaces => Vec::new(),
-            QuotaKind::Targets => outbound::words(node, group),
+            QuotaKind::Targets => outbound::notices(node, group),
         },
     }
 }
 
 pub(super) fn from_reply(node: &Node, reply: CapReply) -> Reply {
-    outbound::learn(node, &reply.words, "home");
+    outbound::merge_notices(node, &reply.words, "home");
     let lines = reply.lines.into_iter().map(|l| Settled {
         workspace: l.workspace,
         grant: units(l.grant),
@@ -117,12 +117,12 @@
 /// Answers another daemon that settles here.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
     let of = of_wire(message.of());
-    outbound::learn(node, &message.words, &message.from);
+    outbound::merge_notices(node, &message.words, &message.from);
     super::refresh(node, of);
     let call = from_call(message);
     let now = node.now();
     let met = node.fleet.known_since_ms(&call.from).unwrap_or(now);
-    let answered = match &mut node.caps_of(of).state().meter {
+    let answered = match &mut node.quotas_of(of).state().meter {
         Some(meter) => meter.answer(&call, met, now),
         None => Reply {
             boot: node.fleet.boot(),
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -13,7 +13,7 @@
     flight::Seat,
     keeper::Candidate,
     node::{Node, View},
-    outbound::{self, Shut},
+    outbound::{self, UnavailableTargets},
 };
 
 /// How long after a version of an adapter was named the one before still
@@ -139,12 +139,12 @@
     let now = node.now();
     let settings = node.settings();
     let policies = settings.policies;
-    let shut = outbound::Shut::now(node, now);
+    let unavailable = outbound::UnavailableTargets::current(node, now);
     let view = node.view();
-    let targets = view.ready(wish.service, now);
+    let targets = view.ready_targets(wish.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
-        .filter(|t| wish.open(t) && !shut.sends(&t.id))
+        .filter(|t| wish.open(t) && !unavailable.blocks_sends(&t.id))
         .collect();
     let base = |t: &Target| Choice {
         id: t.id.clone(),
@@ -169,7 +169,7 @@
                 engine,
                 version,
             };
-            let options = engine_choices(node, &view, wish, wanted, &targets, &shut, &base);
+            let options = engine_choices(node, &view, wish, wanted, &targets, &unavailable, &base);
             loaders = options.loaders;
             (options.open, version)
         }
@@ -227,8 +227,8 @@
 /// The least version of `adapter` that may still serve.
 fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
     let grace = node.settings().bounds.version_ms / GRACE_PART;
-    let named = view.named.get(adapter);
-    let due = named.filter(|n| now.saturating_sub(n.learned) >= grace);
+    let named = view.named_versions.get(adapter);
+    let due = named.filter(|n| now.saturating_sub(n.learned_ms) >= grace);
     due.map_or(0, |n| n.version)
 }
 
@@ -263,7 +263,7 @@
     wish: &Wish<'_>,
     wanted: Wanted<'_>,
     targets: &[Arc<Target>],
-    shut: &Shut,
+    unavailable: &UnavailableTargets,
     base: &impl Fn(&Target) -> Choice,
 ) -> Options {
     let Wanted {
@@ -275,7 +275,7 @@
     let key = crate::fleet::adapter_key(adapter);
     let in_use = node.fleet.in_use(now);
     let used = node.fleet.reported_in_use(now);
-    let named = view.named.get(adapter).map_or(0, |n| n.version);
+    let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, wish, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
@@ -318,7 +318,7 @@
         if resident.is_some() && in_use.get(&t.id).is_some_and(|u| u.contains(adapter)) {
             continue;
         }
-        if away || shut.loads(&t.id) {
+        if away || unavailable.blocks_loads(&t.id) {
             continue;
         }
         let held_lease = node.token(&t.domain).is_some();
@@ -326,7 +326,7 @@
             continue;
         }
         let recent = view.residency.recent(adapter, &t.id, now);
-        choice.load_ms = node.keepers.expected_load_ms(recent);
+        choice.load_ms = node.controllers.expected_load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
         choice.stored = !recent && !hot && policies.spare_store;
         choice.evicts =
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -10,14 +10,14 @@
 use comfreyhall_inforce::{InForce, Way};
 
 use crate::{
-    node::{Named, Node, View},
-    ports::{Decoded, Fact, Facts, Topic},
+    node::{NamedVersion, Node, View},
+    ports::{Decoded, Record, RecordBatch, Topic},
 };
 
 /// Rows of one topic by key.
 #[derive(Debug, Default)]
 pub(crate) struct TopicRows {
-    pub(crate) rows: Map<Name, Fact>,
+    pub(crate) rows: Map<Name, Record>,
     /// Version at which each row last changed in what peers must know.
     pub(crate) news: Map<Name, u64>,
     /// Newest version covered.
@@ -77,23 +77,23 @@
 }
 
 /// Applies rows of `topic` that are newer than those known.
-pub(crate) fn apply(node: &Node, topic: Topic, facts: Facts, origin: &Provenance) {
+pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.book.topic_rows(topic);
+    let shelf = view.records.topic_rows(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.book.topic_rows(topic).rows.get(&fact.key);
+        let known = view.records.topic_rows(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.book.settings_sync.take(fact.version, way, *asked, now);
+            view.records.settings_sync.take(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.book.topic_rows(topic);
+        let shelf = view.records.topic_rows(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -112,10 +112,10 @@
 /// the adapters it holds, of which the holder of its lease tells sooner.
 /// Telling peers of each such row came to 1.7 GB between failure domains in
 /// a calm day of 89 daemons and 93 targets, which filled the smaller links.
-fn take(node: &Node, view: &mut View, topic: Topic, fact: &Fact, now: u64) -> bool {
+fn take(node: &Node, view: &mut View, topic: Topic, fact: &Record, now: u64) -> bool {
     if fact.value.is_none() {
         if topic == Topic::Targets {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             if let Some(known) = view.boot_of(&fact.key) {
                 forget(view, &known.id);
             }
@@ -123,7 +123,7 @@
         return true;
     }
     match node.source.decode(topic, fact) {
-        Ok(Decoded::Config { config, odd }) => {
+        Ok(Decoded::Config { config, warnings }) => {
             if view
                 .config
                 .as_ref()
@@ -131,28 +131,28 @@
             {
                 return false;
             }
-            for problem in odd {
+            for problem in warnings {
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
             tell_in_force(node, view, &config, fact);
-            view.book.settings_sync.set_readable(true);
+            view.records.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
             view.ranks = Ranks::of(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
-            let known = view.named.get(&adapter);
+            let known = view.named_versions.get(&adapter);
             if known.is_some_and(|n| n.version >= version) {
                 return false;
             }
-            let named = Named {
+            let named = NamedVersion {
                 version,
-                learned: now,
+                learned_ms: now,
             };
-            view.named.insert(adapter, named);
+            view.named_versions.insert(adapter, named);
         }
         Ok(Decoded::Target(target)) => {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             // Another boot is only looked for when this one is not known:
             // looking through all targets for each of their entries would
             // take 4 million comparisons a second with 2,200 targets.
@@ -184,7 +184,7 @@
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
-                view.book.settings_sync.set_readable(false);
+                view.records.settings_sync.set_readable(false);
             }
             log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
         }
@@ -193,14 +193,14 @@
 }
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
-fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Fact) {
-    let Some(taken) = view.book.settings_sync.taken() else {
+fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Record) {
+    let Some(taken) = view.records.settings_sync.taken() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
     node.metrics.settings(taken.way.kind(), bytes, taken.waited);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.book.settings_sync.age(taken.at);
+    let age = view.records.settings_sync.age(taken.at);
     log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
 }
 
@@ -215,9 +215,9 @@
         target.stage = Stage::Draining;
         view.targets.insert(target.id.clone(), Arc::new(target));
     }
-    if view.unread.get(name) != Some(&problem) {
+    if view.entry_errors.get(name) != Some(&problem) {
         log::warn!(target: "follow", key:% = name, problem:%; "entry names no target; correct or delete it");
-        view.unread.insert(name.clone(), problem);
+        view.entry_errors.insert(name.clone(), problem);
     }
 }
 
@@ -237,14 +237,14 @@
 }
 
 /// Marks targets that a full read as of `version` no longer lists as gone.
-pub(crate) fn sweep(node: &Node, listed: &Facts) {
+pub(crate) fn sweep(node: &Node, listed: &RecordBatch) {
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
-    let gone: Vec<Fact> = {
+    let gone: Vec<Record> = {
         let mut view = node.view();
-        let rows = view.book.topic_rows(Topic::Targets).rows.values();
+        let rows = view.records.topic_rows(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
-            .map(|f| Fact {
+            .map(|f| Record {
                 key: f.key.clone(),
                 value: None,
                 version: listed.version,
@@ -255,7 +255,7 @@
         apply(
             node,
             Topic::Targets,
-            Facts {
+            RecordBatch {
                 rows: gone,
                 version: listed.version,
             },
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -5,25 +5,28 @@
 use super::apply;
 use crate::{
     node::Node,
-    ports::{Fact, Facts, Topic},
-    quiet::node,
+    ports::{Record, RecordBatch, Topic},
+    test_node::node,
 };
 
 fn put(node: &Node, key: &str, value: &'static str, version: u64) {
-    let fact = Fact {
+    let fact = Record {
         key: key.into(),
         value: Some(Bytes::from_static(value.as_bytes())),
         version,
     };
     let rows = vec![fact];
     let origin = super::Provenance::store(node.now());
-    apply(node, Topic::Targets, Facts { rows, version }, &origin);
+    apply(node, Topic::Targets, RecordBatch { rows, version }, &origin);
 }
 
 fn ready(node: &Node) -> Vec<Name> {
     let now = node.now();
     let view = node.view();
-    view.ready("s", now).iter().map(|t| t.id.clone()).collect()
+    view.ready_targets("s", now)
+        .iter()
+        .map(|t| t.id.clone())
+        .collect()
 }
 
 /// Symptom: requests went to an engine for adapters that it did not hold, and
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -15,7 +15,7 @@
     follow,
     node::Node,
     outbound,
-    ports::{Fact, Facts, Topic},
+    ports::{Record, RecordBatch, Topic},
     quarantine::wire,
 };
 
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn own_news(&self, node: &Node, now: u64) -> News {
-        let words = outbound::words_of_holder(node);
+        let words = outbound::holder_notices(node);
         let mut view = node.view();
         let work = view.board.own().map(|(target, w)| TargetWork {
             target: target.to_string(),
@@ -98,11 +98,11 @@
             running: w.running,
         });
         let work = work.collect();
-        let targets = view.book.topic_rows(Topic::Targets);
+        let targets = view.records.topic_rows(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.settings_sync.age(now);
-        let settings_version = view.book.settings_sync.newest();
+        let settings_age = view.records.settings_sync.age(now);
+        let settings_version = view.records.settings_sync.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
         // to hear of it and to send them. What goes wrong without it: the store
@@ -110,7 +110,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.settings_sync.behind_ms(now);
+        let behind_ms = view.records.settings_sync.behind_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -130,7 +130,7 @@
             targets_version,
             targets_age,
             settings_age,
-            cut_off: node.cut_off() || behind_ms > lag_ms,
+            cut_off: node.settings_unavailable() || behind_ms > lag_ms,
             members: self.known_members(),
             words,
             sent_at: now,
@@ -184,7 +184,7 @@
             self.add_peer(addr, false);
         }
         wire::hear(node, &news.evidence);
-        outbound::learn(node, &news.words, &from.id);
+        outbound::merge_notices(node, &news.words, &from.id);
         let mut works = self.learn_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
         if how == super::Origin::Answer {
@@ -219,15 +219,15 @@
             }
         }
         for demand in &news.demands {
-            view.wanted(&demand.key, demand.requests, now);
+            view.count_demand(&demand.key, demand.requests, now);
         }
         drop(view);
         let age = news.targets_age;
-        let covers = news.targets_version >= node.view().book.targets.version;
+        let covers = news.targets_version >= node.view().records.targets.version;
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.settings_sync.fits(news.settings_since) {
+        let settings = match node.view().records.settings_sync.fits(news.settings_since) {
             true => news.settings,
             false => Vec::new(),
         };
@@ -239,16 +239,16 @@
             if rows.is_empty() {
                 continue;
             }
-            let rows: Vec<Fact> = rows.into_iter().map(from_wire).collect();
+            let rows: Vec<Record> = rows.into_iter().map(from_wire).collect();
             let version = rows.iter().map(|f| f.version).max().unwrap_or(0);
-            facts::apply(node, topic, Facts { rows, version }, &origin);
+            facts::apply(node, topic, RecordBatch { rows, version }, &origin);
             follow::settle(node);
         }
         let mut view = node.view();
         if age != u64::MAX && covers {
-            view.book.targets.confirm(now.saturating_sub(age));
+            view.records.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.book.settings_sync;
+        let in_force = &mut view.records.settings_sync;
         let before = in_force.heard().map(|h| h.version);
         in_force.peer_said(&peer, settings_version, settings_as_of, now);
         tell_heard(in_force, before, now);
@@ -347,7 +347,7 @@
     }
 }
 
-pub(super) fn to_wire(fact: &Fact) -> comfreyhall_protocol::Fact {
+pub(super) fn to_wire(fact: &Record) -> comfreyhall_protocol::Fact {
     comfreyhall_protocol::Fact {
         key: fact.key.to_string(),
         value: fact.value.as_ref().map(|v| v.to_vec()).unwrap_or_default(),
@@ -356,8 +356,8 @@
     }
 }
 
-pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Fact {
-    Fact {
+pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Record {
+    Record {
         key: fact.key.into(),
         value: (!fact.deleted).then(|| fact.value.into()),
         version: fact.version,
@@ -371,9 +371,9 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.topic_rows(topic);
+    let shelf = view.records.topic_rows(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
-    let newer = |fact: &&Fact| match topic {
+    let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
         Topic::Targets => shelf.news.get(&fact.key).is_some_and(|v| *v > version),
     };
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -6,8 +6,8 @@
 use crate::{
     facts::{self, Provenance},
     node::Node,
-    ports::{Fact, Facts, Topic},
-    quiet::node,
+    ports::{Record, RecordBatch, Topic},
+    test_node::node,
 };
 
 fn daemon(port: u16) -> Daemon {
@@ -90,16 +90,21 @@
 #[test]
 fn settings_large_in_no_news() {
     let node = node();
-    let row = |key: &str, bytes: usize, version| Fact {
+    let row = |key: &str, bytes: usize, version| Record {
         key: key.into(),
         value: Some(vec![b' '; bytes].into()),
         version,
     };
-    let put = |fact: Fact| {
+    let put = |fact: Record| {
         let version = fact.version;
         let rows = vec![fact];
         let origin = Provenance::store(node.now());
-        facts::apply(&node, Topic::Settings, Facts { rows, version }, &origin);
+        facts::apply(
+            &node,
+            Topic::Settings,
+            RecordBatch { rows, version },
+            &origin,
+        );
     };
     let told = |settings_version, cut_off| {
         let ask = News {
@@ -143,13 +148,18 @@
     assert!(!cut_off(now));
     let lag = node.settings().bounds.apply_ms / 3;
     assert!(cut_off(now + lag + 1));
-    let rows = vec![Fact {
+    let rows = vec![Record {
         key: "config".into(),
         value: Some(Vec::new().into()),
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(&node, Topic::Settings, Facts { rows, version: 9 }, &origin);
+    facts::apply(
+        &node,
+        Topic::Settings,
+        RecordBatch { rows, version: 9 },
+        &origin,
+    );
     assert!(!cut_off(now + lag + 2));
 }
 
@@ -160,13 +170,18 @@
 #[tokio::test]
 async fn push_rows_only_what_is_lacked() {
     let node = node();
-    let rows = vec![Fact {
+    let rows = vec![Record {
         key: "config".into(),
         value: Some(vec![b' '; 3_000].into()),
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(&node, Topic::Settings, Facts { rows, version: 9 }, &origin);
+    facts::apply(
+        &node,
+        Topic::Settings,
+        RecordBatch { rows, version: 9 },
+        &origin,
+    );
     let told = |settings_version| {
         let cut_off = News {
             cut_off: true,
@@ -277,7 +292,7 @@
         heard_boot,
         ..news(0, Vec::new())
     };
-    let age = || node.view().book.settings_sync.age(5_000);
+    let age = || node.view().records.settings_sync.age(5_000);
     let boot = node.fleet.boot();
     // The last one says that the store told it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
@@ -306,7 +321,7 @@
         }],
         ..news(0, Vec::new())
     };
-    let newest = || node.view().book.settings_sync.newest();
+    let newest = || node.view().records.settings_sync.newest();
     node.fleet.learn(&node, told(9), super::Origin::Call);
     assert_eq!(newest(), 0);
     node.fleet.learn(&node, told(0), super::Origin::Answer);
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -17,7 +17,7 @@
 use crate::{
     facts::{self, Provenance},
     node::Node,
-    ports::{Arriving, Facts, SourceError, Topic},
+    ports::{PendingBatch, RecordBatch, SourceError, Topic},
 };
 
 /// Longest wait of one feed call. Shorter than the store's longest by far,
@@ -82,7 +82,7 @@
             Err(e) => (Err(e), Times::now(&node)),
         };
         link.note(&node, &answer, began);
-        node.set_cut_off(matches!(answer, Err(SourceError::Unavailable(_))));
+        node.set_settings_unavailable(matches!(answer, Err(SourceError::Unavailable(_))));
         match answer {
             Ok(facts) => {
                 after = Some(facts.version);
@@ -90,14 +90,13 @@
                 let origin = Provenance::store(times.asked);
                 facts::apply(&node, Topic::Settings, facts, &origin);
                 node.view()
-                    .book
-                    .settings_sync
+                    .records.settings_sync
                     .store_said(covers, times.as_of);
                 settle(&node);
             }
-            Err(SourceError::Forgotten) => after = None,
+            Err(SourceError::Compacted) => after = None,
             Err(SourceError::Unavailable(_)) => {
-                node.view().book.settings_sync.store_failed(began);
+                node.view().records.settings_sync.store_failed(began);
                 node.fleet.wake_fetch();
                 link.pause(&node).await;
             }
@@ -107,7 +106,7 @@
 
 /// An answer about settings with its times.
 struct Told {
-    facts: Facts,
+    facts: RecordBatch,
     times: Times,
 }
 
@@ -145,8 +144,8 @@
 }
 
 /// The rest of an answer that has begun to come.
-async fn arrival(node: &Node, rest: Arriving) -> Result<Facts, SourceError> {
-    node.view().book.settings_sync.store_began();
+async fn arrival(node: &Node, rest: PendingBatch) -> Result<RecordBatch, SourceError> {
+    node.view().records.settings_sync.store_began();
     rest.await
 }
 
@@ -155,7 +154,7 @@
     node: &Node,
     began: u64,
     wait: Duration,
-    rest: Arriving,
+    rest: PendingBatch,
 ) -> Result<Told, SourceError> {
     let asked = node.now();
     let facts = arrival(node, rest).await?;
@@ -191,7 +190,7 @@
             return Ok(found);
         }
         let (covers, as_of) = (found.facts.version, found.times.as_of);
-        node.view().book.settings_sync.store_said(covers, as_of);
+        node.view().records.settings_sync.store_said(covers, as_of);
     }
 }
 
@@ -201,7 +200,7 @@
     let bound = node.settings().bounds.apply_ms as f64;
     let due = (bound * rand::rng().random_range(LOOK_PARTS)) as u64;
     loop {
-        let age = node.view().book.settings_sync.age(node.now());
+        let age = node.view().records.settings_sync.age(node.now());
         if age >= due {
             return;
         }
@@ -226,11 +225,11 @@
 /// young enough, and nobody tells of anything newer.
 async fn await_untold(node: &Node) {
     loop {
-        if node.view().book.settings_sync.heard().is_some() {
+        if node.view().records.settings_sync.heard().is_some() {
             return;
         }
         let most = 2 * node.settings().bounds.apply_ms / PARTS_PER_APPLY;
-        let age = node.view().book.settings_sync.age(node.now());
+        let age = node.view().records.settings_sync.age(node.now());
         if !node.fleet.large() || holding(node) || age > most {
             return;
         }
@@ -281,17 +280,17 @@
     }
 
     /// Takes in the answer to a call that began at `began`.
-    fn note(&mut self, node: &Node, answer: &Result<Facts, SourceError>, began: u64) {
+    fn note(&mut self, node: &Node, answer: &Result<RecordBatch, SourceError>, began: u64) {
         let topic = self.topic;
         let now = node.now();
-        let (waited, age) = (now - began, node.view().book.settings_sync.age(now));
+        let (waited, age) = (now - began, node.view().records.settings_sync.age(now));
         node.metrics.store_read(topic, answer.is_ok());
         match answer {
             Ok(facts) if self.down => {
                 log::info!(target: "follow", version = facts.version, waited, settings_age = age; "store answers again for {topic}");
             }
             Ok(_) => {}
-            Err(e) if !self.down || *e == SourceError::Forgotten => {
+            Err(e) if !self.down || *e == SourceError::Compacted => {
                 log::warn!(target: "follow", error:% = e, waited, settings_age = age; "{topic} not read");
             }
             Err(_) => {}
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -61,7 +61,7 @@
             until: now + wish.start_timeout.as_millis() as u64,
             blocked: "",
         };
-        let jobs = node.keepers.jobs().get(&pick.target).cloned();
+        let jobs = node.controllers.jobs().get(&pick.target).cloned();
         offered |= jobs.is_some_and(|j| j.try_send(job).is_ok());
     }
     if !offered {
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::{Candidate, PlacementRequest, place_adapter};
-use crate::quiet::node;
+use crate::test_node::node;
 
 /// Symptom: an engine that was gone was asked again by every request. Events:
 /// its keeper finds that it takes no orders and lets the wish go, and no other
@@ -14,7 +14,7 @@
 async fn ensure_gone_engine_is_named() {
     let node = node();
     let (send, mut jobs) = mpsc::channel(1);
-    node.keepers.jobs().insert("e".into(), send);
+    node.controllers.jobs().insert("e".into(), send);
     tokio::spawn(async move {
         let job = jobs.recv().await.unwrap();
         let done = job.claim();
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -21,13 +21,16 @@
 use tokio::time::timeout;
 
 pub(crate) use self::{
-    limits::{grant, learn, limits, own_words, words, words_of_holder},
-    shut::{Closed, Shut, closed, leaves, why_shut},
+    limits::{grant, holder_notices, limits, merge_notices, notices, own_notices},
+    shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
     caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
-    ports::{Extra, Heard, NoReport, Order, OrderReply, Pulse, Report, Response, SendError},
+    ports::{
+        Command, CommandReply, ProbeResult, Report, ReportError, Response, SendError, SendOptions,
+        TargetReply,
+    },
 };
 
 /// Part of a rest, as its divisor, by which it is lengthened at most.
@@ -111,8 +114,8 @@
     node: &Arc<Node>,
     target: &Target,
     granted: bool,
-) -> Result<Permit, Closed> {
-    if let Some(closed) = closed(node, &target.id) {
+) -> Result<Permit, Unavailable> {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(closed);
     }
     if granted {
@@ -122,7 +125,7 @@
     let credit = limits::reserve(node, target).await.map_err(|refused| {
         let (QuotaError::Exceeded { retry_ms } | QuotaError::Unknown { retry_ms }) = refused;
         let why = "its limit is used up";
-        Closed { why, retry_ms }
+        Unavailable { why, retry_ms }
     })?;
     Ok(Permit { credit })
 }
@@ -133,11 +136,11 @@
     target: &Arc<Target>,
     mut permit: Permit,
     ask: Arc<Ask>,
-    extra: Extra,
+    options: SendOptions,
     patience: Duration,
 ) -> Result<Response, SendError> {
     // It may have said so since the permit was taken.
-    if let Some(closed) = closed(node, &target.id) {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(SendError::NotSent(closed.why.into()));
     }
     // From here on it may arrive, also if nobody waits for it any more.
@@ -145,9 +148,10 @@
         credit.mark_sent();
     }
     let sent = node.now();
-    let call = node.backend.send(target.clone(), ask, extra);
+    let call = node.backend.send(target.clone(), ask, options);
     let answer = timeout(patience, call).await;
-    let answer = answer.unwrap_or_else(|_| Err(SendError::Doubt("no answer in time".into())));
+    let answer =
+        answer.unwrap_or_else(|_| Err(SendError::Indeterminate("no answer in time".into())));
     match &answer {
         Ok(response) => hear(node, target, &response.notice, Some(sent)),
         Err(SendError::NotSent(_)) => permit.give_back(),
@@ -157,19 +161,19 @@
 }
 
 /// Gives an order; waits for the answer for `patience`.
-pub(crate) async fn order(
+pub(crate) async fn command(
     node: &Arc<Node>,
     target: &Arc<Target>,
-    order: Order,
+    command: Command,
     patience: Duration,
-) -> OrderReply {
-    if closed(node, &target.id).is_some() {
-        return OrderReply::Unsent;
+) -> CommandReply {
+    if unavailable(node, &target.id).is_some() {
+        return CommandReply::Unsent;
     }
-    let call = node.backend.order(target.clone(), order);
+    let call = node.backend.command(target.clone(), command);
     match timeout(patience, call).await {
         Ok(heard) => take(node, target, heard),
-        Err(_) => OrderReply::Silent("no answer in time".into()),
+        Err(_) => CommandReply::Silent("no answer in time".into()),
     }
 }
 
@@ -178,28 +182,28 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     patience: Duration,
-) -> Result<Report, NoReport> {
-    if let Some(closed) = closed(node, &target.id) {
-        return Err(NoReport::Silent(closed.why.into()));
+) -> Result<Report, ReportError> {
+    if let Some(closed) = unavailable(node, &target.id) {
+        return Err(ReportError::NoAnswer(closed.why.into()));
     }
     let call = node.backend.report(target.clone());
     match timeout(patience, call).await {
         Ok(heard) => take(node, target, heard),
-        Err(_) => Err(NoReport::Silent("no answer in time".into())),
+        Err(_) => Err(ReportError::NoAnswer("no answer in time".into())),
     }
 }
 
 /// Looks whether `target` is there; not while it rests, but one that leaves is
 /// looked at to see whether it has ended.
-pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> Pulse {
+pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> ProbeResult {
     if node.outbound.gates().rest_ms(&target.id, node.now()) > 0 {
-        return Pulse::Silent;
+        return ProbeResult::NoAnswer;
     }
     let heard = node.backend.probe(target.clone()).await;
     take(node, target, heard)
 }
 
-fn take<T>(node: &Arc<Node>, target: &Target, heard: Heard<T>) -> T {
+fn take<T>(node: &Arc<Node>, target: &Target, heard: TargetReply<T>) -> T {
     hear(node, target, &heard.notice, None);
     heard.answer
 }
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -162,7 +162,7 @@
 /// Whether `target` is to stay: one that leaves ends whatever it runs, and its
 /// entry may go before it does. One that crashes is listed for some seconds.
 fn stays(node: &Node, target: &Name) -> bool {
-    if outbound::leaves(node, target) {
+    if outbound::is_draining(node, target) {
         return false;
     }
     let view = node.view();
@@ -239,7 +239,7 @@
     {
         // A boot that has ended takes nothing any more; without this every
         // daemon finds out by itself until the entry goes.
-        node.view().dead.insert(target, now + ENDED_MS);
+        node.view().unavailable_until.insert(target, now + ENDED_MS);
     }
     new
 }
