--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -28,7 +28,7 @@
     let plan = choose(node, &ask, &engine);
     let plan = plan.ok_or_else(|| Unbound::unplaced("no engine of the group can take it"))?;
     let first = ask.tried.is_empty() && node.policies().admission;
-    if first && admission::refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
+    if first && admission::should_refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
         return Err(Unbound::TooLong(plan.wait_ms as u64));
     }
     if !plan.loads {
@@ -91,7 +91,7 @@
     let mut view = node.view();
     let unread = choose::unread(&view, &ask.need, target);
     if let Some(adapter) = &ask.need.adapter {
-        view.prefixes.note(adapter, &ask.need.parts, target, now);
+        view.prefixes.record(adapter, &ask.need.parts, target, now);
     }
     let hot = ask.need.adapter.as_ref();
     let hot = hot.is_some_and(|a| view.is_hot(a, now));
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -85,7 +85,12 @@
     match here::bind(node, ask).await {
         Ok(bound) => {
             let now = node.now();
-            let ahead = node.view().board.work(&bound.target, now).prefill + bound.unread;
+            let ahead = node
+                .view()
+                .board
+                .total_work(&bound.target, now)
+                .prefill_tokens
+                + bound.unread;
             let counted = Run {
                 target: bound.target.clone(),
                 group,
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -6,7 +6,7 @@
 use comfreyhall_placement::PlaceTime;
 use comfreyhall_routing::{
     pick,
-    pick::{Choice, Spread},
+    pick::{Candidate, Spread},
 };
 
 use crate::{
@@ -146,15 +146,15 @@
         .into_iter()
         .filter(|t| wish.open(t) && !shut.sends(&t.id))
         .collect();
-    let base = |t: &Target| Choice {
+    let base = |t: &Target| Candidate {
         id: t.id.clone(),
-        near: t.domain == settings.domain || !policies.near_first,
+        same_domain: t.domain == settings.domain || !policies.near_first,
         wait_ms: 0.0,
         load_ms: 0.0,
-        stored: false,
+        from_store: false,
         evicts: false,
-        beside_ms: 0.0,
-        health: match policies.outliers {
+        interference_ms: 0.0,
+        success_rate: match policies.outliers {
             true => view.board.health(&t.id, now),
             false => 1.0,
         },
@@ -174,7 +174,7 @@
             (options.open, version)
         }
         _ => {
-            let plain = |t: &Arc<Target>| Choice {
+            let plain = |t: &Arc<Target>| Candidate {
                 wait_ms: view.board.plain_ms(&t.id, t.slots, now),
                 ..base(t)
             };
@@ -186,7 +186,7 @@
         true => Spread::Stale(STALE_MS),
         false => Spread::Equal,
     };
-    let best = pick::best(&choices, again_ms, spread, wish.draw)?;
+    let best = pick::select(&choices, again_ms, spread, wish.draw)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let loads = best.load_ms > 0.0;
     let picks = match loads && wish.group.is_some() {
@@ -209,11 +209,11 @@
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
+fn picks(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<Pick> {
     let others = loaders.iter().filter(|c| c.id != best.id);
     let others = others.map(|c| Pick {
         target: c.id.clone(),
-        extra_ms: (c.cost(again_ms) - best.cost(again_ms)).max(0.0) as u64,
+        extra_ms: (c.cost_ms(again_ms) - best.cost_ms(again_ms)).max(0.0) as u64,
     });
     let first = Pick {
         target: best.id.clone(),
@@ -237,7 +237,7 @@
     let Some(adapter) = &need.adapter else {
         return 0;
     };
-    let kept = view.prefixes.kept(adapter, &need.parts, target);
+    let kept = view.prefixes.cached_tokens(adapter, &need.parts, target);
     need.prompt().saturating_sub(kept).max(1)
 }
 
@@ -252,9 +252,9 @@
 /// Engines for a request.
 struct Options {
     /// Those that it may choose from.
-    open: Vec<Choice>,
+    open: Vec<Candidate>,
     /// All that lack its adapter and may load it.
-    loaders: Vec<Choice>,
+    loaders: Vec<Candidate>,
 }
 
 fn engine_choices(
@@ -264,7 +264,7 @@
     wanted: Wanted<'_>,
     targets: &[Arc<Target>],
     shut: &Shut,
-    base: &impl Fn(&Target) -> Choice,
+    base: &impl Fn(&Target) -> Candidate,
 ) -> Options {
     let Wanted {
         adapter,
@@ -281,14 +281,14 @@
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
     let at_home = wish.group.is_some() || targets.iter().any(|t| t.domain == domain);
-    let resident = |t: &Target| view.residency.version(adapter, &t.id);
+    let resident = |t: &Target| view.residency.held_version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
     let reader = match policies.shared_prompts {
-        true => pick::reader(&key, &wish.need.parts, holders),
+        true => pick::prefix_engine(&key, &wish.need.parts, holders),
         false => None,
     };
-    let mut loaders: Vec<(bool, u64, Choice)> = Vec::new();
+    let mut loaders: Vec<(bool, u64, Candidate)> = Vec::new();
     let mut out = Vec::new();
     for t in targets.iter().filter(|t| t.holds(&adapter.model)) {
         let mut choice = base(t);
@@ -298,13 +298,13 @@
         }
         choice.wait_ms = view.board.prefill_ms(&t.id, tokens, now);
         if let Some(prices) = prices {
-            let streams = view.board.work(&t.id, now).running;
-            let reading = view.board.reading_ms(tokens as f64);
-            choice.beside_ms = prices.reading_ms(reading, streams);
+            let streams = view.board.total_work(&t.id, now).requests;
+            let reading = view.board.read_duration_ms(tokens as f64);
+            choice.interference_ms = prices.reading_ms(reading, streams);
         }
         let away = hot && at_home && wish.group.is_none() && t.domain != domain;
         if away {
-            choice.beside_ms += AWAY_MS;
+            choice.interference_ms += AWAY_MS;
         }
         let resident = resident(t);
         let held = adapter.adapter.is_none() || resident.is_some_and(|v| v >= version);
@@ -325,12 +325,12 @@
         if !held_lease && node.fleet.holder(&t.domain, now).is_none() {
             continue;
         }
-        let recent = view.residency.recent(adapter, &t.id, now);
+        let recent = view.residency.likely_cached(adapter, &t.id, now);
         choice.load_ms = node.keepers.load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
-        choice.stored = !recent && !hot && policies.spare_store;
+        choice.from_store = !recent && !hot && policies.spare_store;
         choice.evicts =
-            policies.spare_places && !hot && view.residency.count(&t.id) >= engine.places;
+            policies.spare_places && !hot && view.residency.adapter_count(&t.id) >= engine.places;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
         let told = used.get(&t.id).copied().unwrap_or(0);
         let full = known.max(told) >= engine.places;
@@ -342,7 +342,7 @@
         let rank = if recent {
             0
         } else {
-            pick::home_rank(&key, &t.id)
+            pick::rendezvous_rank(&key, &t.id)
         };
         loaders.push((full && !recent, rank, choice));
     }
@@ -352,7 +352,7 @@
     } else {
         out.len().max(NEW_HOMES)
     };
-    let loaders: Vec<Choice> = loaders.into_iter().map(|(_, _, c)| c).collect();
+    let loaders: Vec<Candidate> = loaders.into_iter().map(|(_, _, c)| c).collect();
     out.extend(loaders.iter().take(homes).cloned());
     Options { open: out, loaders }
 }
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -175,7 +175,7 @@
                 log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = fact.version; "target");
             }
             let news = known.is_none_or(|t| !same(t, &target));
-            view.residency.publish(&target, now);
+            view.residency.apply_report(&target, now);
             view.targets.insert(target.id.clone(), Arc::new(target));
             return news;
         }
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -1,6 +1,6 @@
 use bytes::Bytes;
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::apply;
 use crate::{
@@ -41,14 +41,14 @@
     let old = ready(&node).remove(0);
     node.view()
         .residency
-        .note(&adapter, &old, Standing::Held(1), node.now());
+        .record(&adapter, &old, Presence::Held(1), node.now());
     put(&node, "t", "9 ready", 2);
     let new = ready(&node);
     assert_eq!(new.len(), 1);
     assert_ne!(new[0], old);
     let view = node.view();
-    assert!(view.residency.version(&adapter, &old).is_none());
-    assert!(view.residency.version(&adapter, &new[0]).is_none());
+    assert!(view.residency.held_version(&adapter, &old).is_none());
+    assert!(view.residency.held_version(&adapter, &new[0]).is_none());
 }
 
 /// Symptom: an engine that had started again was sent requests of its former
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -2,7 +2,7 @@
 
 use comfreyhall_domain::Name;
 use comfreyhall_protocol::{Cession, Daemon};
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_routing::pick::rendezvous_rank;
 
 use super::{Fleet, hub};
 
@@ -97,7 +97,7 @@
         let state = self.state();
         let large = hub::large(state.peers.len());
         let class = |d: &Daemon| (large && d.millicores >= MUCH_CPU, d.domain == group);
-        let turn = |d: &Daemon| home_rank(group, &d.peer);
+        let turn = |d: &Daemon| rendezvous_rank(group, &d.peer);
         let about = state.alive(now).filter_map(|(_, p)| p.about.as_ref());
         let ready: Vec<&Daemon> = about.filter(|a| a.ready).collect();
         let mine = class(&self.me);
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -177,11 +177,11 @@
             news.roster = roster.members.clone();
         }
         let but_own = |(id, total): &(Name, TargetTotal)| {
-            let own = view.board.told(id, &asker.id, now);
+            let own = view.board.peer_work(id, &asker.id, now);
             TargetTotal {
-                prefill: total.prefill.saturating_sub(own.prefill),
-                waiting: total.waiting.saturating_sub(own.waiting),
-                running: total.running.saturating_sub(own.running),
+                prefill: total.prefill.saturating_sub(own.prefill_tokens),
+                waiting: total.waiting.saturating_sub(own.waiting_tokens),
+                running: total.running.saturating_sub(own.requests),
                 ..total.clone()
             }
         };
@@ -199,13 +199,13 @@
         let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
         let targets = view.targets.values().filter(|t| held(&t.domain));
         let totals = targets.filter_map(|t| {
-            let work = view.board.told_by_all(&t.id, now);
+            let work = view.board.reported_work(&t.id, now);
             let adapters = used.get(&t.id).copied().unwrap_or(0);
             let total = TargetTotal {
                 target: t.id.to_string(),
-                prefill: work.prefill,
-                waiting: work.waiting,
-                running: work.running,
+                prefill: work.prefill_tokens,
+                waiting: work.waiting_tokens,
+                running: work.requests,
                 adapters,
             };
             (work != Work::default() || adapters > 0).then(|| (t.id.clone(), total))
@@ -240,11 +240,11 @@
             news.totals.iter().map(|t| (t.target.as_str(), t)).collect();
         for id in targets {
             let work = totals.get(&*id).map_or(Work::default(), |t| Work {
-                prefill: t.prefill,
-                waiting: t.waiting,
-                running: t.running,
+                prefill_tokens: t.prefill,
+                waiting_tokens: t.waiting,
+                requests: t.running,
             });
-            view.board.total(&id, work, until);
+            view.board.set_others_work(&id, work, until);
         }
     }
 
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -7,7 +7,7 @@
 //! is out of hearing: it may serve requests where it is.
 
 use comfreyhall_domain::Name;
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_routing::pick::rendezvous_rank;
 
 use super::{Fleet, holding::MUCH_CPU, hub};
 
@@ -53,9 +53,16 @@
         let weak = |millicores: u32| large && millicores < MUCH_CPU;
         let alive = state.alive(now).filter_map(|(addr, peer)| {
             let about = peer.about.as_ref().filter(|a| a.ready)?;
-            Some((weak(about.millicores), home_rank(group, addr), addr.clone()))
+            Some((
+                weak(about.millicores),
+                rendezvous_rank(group, addr),
+                addr.clone(),
+            ))
         });
-        let own = (weak(self.me.millicores), home_rank(group, &self.me.peer));
+        let own = (
+            weak(self.me.millicores),
+            rendezvous_rank(group, &self.me.peer),
+        );
         let (weak, rank, addr) = alive.min()?;
         ((weak, rank) < own).then_some(addr)
     }
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -266,9 +266,9 @@
     /// How many daemons alive come before this one for `key`: each key has an
     /// order of its own, the same at all daemons that know of each other.
     pub(crate) fn rank(&self, key: &str, now: u64) -> usize {
-        let own = pick::home_rank(key, &self.me.peer);
+        let own = pick::rendezvous_rank(key, &self.me.peer);
         let state = self.state();
-        let before = |addr: &Name| pick::home_rank(key, addr) < own;
+        let before = |addr: &Name| pick::rendezvous_rank(key, addr) < own;
         state.alive(now).filter(|(addr, _)| before(addr)).count()
     }
 
@@ -327,7 +327,7 @@
         let (target, work) = (run.target.clone(), run.work());
         known.runs.begin(id, run);
         drop(state);
-        node.view().board.peer_more(&name, &target, work, until);
+        node.view().board.add_peer_work(&name, &target, work, until);
     }
 
     /// How long a daemon may be silent, in ms.
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -6,7 +6,7 @@
 use comfreyhall_inforce::{InForce, Way};
 use comfreyhall_protocol::{Daemon, Demand, EngineRun, Holding, News, TargetWork};
 use comfreyhall_quarantine::Heard;
-use comfreyhall_routing::{Standing, Work};
+use comfreyhall_routing::{Presence, Work};
 use rand::seq::IteratorRandom;
 
 use super::{Fleet, Peer, State, hub, parse_key, runs::Runs};
@@ -91,11 +91,11 @@
     pub(super) fn own_news(&self, node: &Node, now: u64) -> News {
         let words = outbound::words_of_holder(node);
         let mut view = node.view();
-        let work = view.board.own().map(|(target, w)| TargetWork {
+        let work = view.board.own_work().map(|(target, w)| TargetWork {
             target: target.to_string(),
-            prefill: w.prefill,
-            waiting: w.waiting,
-            running: w.running,
+            prefill: w.prefill_tokens,
+            waiting: w.waiting_tokens,
+            running: w.requests,
         });
         let work = work.collect();
         let targets = view.book.shelf(Topic::Targets);
@@ -200,22 +200,22 @@
         let mut view = node.view();
         for work in &news.work {
             let told = Work {
-                prefill: work.prefill,
-                waiting: work.waiting,
-                running: work.running,
+                prefill_tokens: work.prefill,
+                waiting_tokens: work.waiting,
+                requests: work.running,
             };
             let sum = works.entry(work.target.as_str().into()).or_default();
             *sum = sum.plus(told);
         }
-        view.board.peer(&peer, &works, now + alive_for);
+        view.board.set_peer_work(&peer, &works, now + alive_for);
         for placed in &news.placed {
             if let Some(adapter) = parse_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
-                    true => Standing::Absent,
-                    false => Standing::Held(placed.version),
+                    true => Presence::Absent,
+                    false => Presence::Held(placed.version),
                 };
-                view.residency.note(&adapter, &target, standing, now);
+                view.residency.record(&adapter, &target, standing, now);
             }
         }
         for demand in &news.demands {
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -154,23 +154,24 @@
             let mut view = node.view();
             if let Some(run) = read {
                 let work = Work {
-                    prefill: run.unread,
+                    prefill_tokens: run.unread,
                     ..Work::default()
                 };
-                view.board.peer_less(&id, &target, work);
-                view.board.learn_wait(&target, run.ahead, event.waited_ms);
+                view.board.subtract_peer_work(&id, &target, work);
+                view.board
+                    .record_first_token(&target, run.ahead, event.waited_ms);
             }
             if let Some(run) = ended {
-                view.board.peer_less(&id, &target, run.work());
+                view.board.subtract_peer_work(&id, &target, run.work());
                 if run.bound > 0 && run.unread == 0 && run.adapter.is_some() {
                     view.hold.learn(now.saturating_sub(run.bound));
                 }
             }
             if event.good > 0.0 {
-                view.board.note(&target, true, event.good, now);
+                view.board.record_outcome(&target, true, event.good, now);
             }
             if event.bad > 0.0 {
-                view.board.note(&target, false, event.bad, now);
+                view.board.record_outcome(&target, false, event.bad, now);
             }
         }
     }
--- a/crates/comfreyhall-node/src/fleet/runs.rs
+++ b/crates/comfreyhall-node/src/fleet/runs.rs
@@ -37,9 +37,9 @@
     /// What it is on its engine's table.
     pub(crate) fn work(&self) -> Work {
         Work {
-            prefill: self.unread,
-            waiting: 0,
-            running: 1,
+            prefill_tokens: self.unread,
+            waiting_tokens: 0,
+            requests: 1,
         }
     }
 
--- a/crates/comfreyhall-node/src/fleet/runs/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/runs/tests.rs
@@ -40,7 +40,7 @@
     runs.replace(&[told(2, "t", 50)], 1_010);
     let works = runs.works();
     let work = works.get("t").unwrap();
-    assert_eq!((work.prefill, work.running), (150, 2));
+    assert_eq!((work.prefill_tokens, work.requests), (150, 2));
     // News that names neither, and long after: both are gone.
     runs.replace(&[], 1_000 + UNTOLD_MS);
     assert!(runs.works().is_empty());
@@ -69,5 +69,5 @@
     assert_eq!(runs.read(1).map(|r| r.unread), Some(100));
     let works = runs.works();
     let work = works.get("t").unwrap();
-    assert_eq!((work.prefill, work.running), (0, 1));
+    assert_eq!((work.prefill_tokens, work.requests), (0, 1));
 }
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -228,7 +228,13 @@
     };
     node.fleet.learn(&node, told, super::Origin::Call);
     let late = node.now() + super::hub::pace_ms(194) + super::PERIOD_MS;
-    assert_eq!(node.view().board.work(&"t".into(), late).prefill, 500);
+    assert_eq!(
+        node.view()
+            .board
+            .total_work(&"t".into(), late)
+            .prefill_tokens,
+        500
+    );
 }
 
 /// Symptom: one daemon held the leases of four domains out of five. Events: it
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -37,7 +37,7 @@
         adapter: &AdapterRef,
         tokens: u64,
     ) -> Self {
-        node.view().board.wait(target, tokens);
+        node.view().board.load_wait_started(target, tokens);
         node.fleet.pin(target, adapter);
         Self {
             node: node.clone(),
@@ -50,7 +50,10 @@
 
 impl Drop for Stall {
     fn drop(&mut self) {
-        self.node.view().board.awaited(&self.target, self.tokens);
+        self.node
+            .view()
+            .board
+            .load_wait_ended(&self.target, self.tokens);
         self.node.fleet.unpin(&self.target, &self.adapter);
     }
 }
@@ -118,8 +121,8 @@
     ) -> Self {
         let now = node.now();
         let mut view = node.view();
-        view.board.begin(&target.id, tokens);
-        let ahead = view.board.work(&target.id, now).prefill;
+        view.board.request_sent(&target.id, tokens);
+        let ahead = view.board.total_work(&target.id, now).prefill_tokens;
         drop(view);
         if let Some(seat) = &seat {
             let run = Run {
@@ -150,9 +153,10 @@
         let waited = now.saturating_sub(self.began);
         let mut view = self.node.view();
         if self.seat.is_some() {
-            view.board.learn_wait(&self.target, self.ahead, waited);
+            view.board
+                .record_first_token(&self.target, self.ahead, waited);
         }
-        view.board.read(&self.target, self.unread);
+        view.board.prompt_read(&self.target, self.unread);
         drop(view);
         self.unread = 0;
         if let Some(seat) = &self.seat {
@@ -177,7 +181,10 @@
     /// Takes in how the answer was.
     pub(crate) fn note(&self, ok: bool, weight: f64) {
         let now = self.node.now();
-        self.node.view().board.note(&self.target, ok, weight, now);
+        self.node
+            .view()
+            .board
+            .record_outcome(&self.target, ok, weight, now);
         if let Some(seat) = &self.seat {
             seat.tell(if ok {
                 What::Good(weight)
@@ -191,8 +198,8 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let mut view = self.node.view();
-        view.board.read(&self.target, self.unread);
-        view.board.end(&self.target);
+        view.board.prompt_read(&self.target, self.unread);
+        view.board.request_ended(&self.target);
         drop(view);
         if let Some(seat) = &self.seat {
             self.node.fleet.end(seat.run);
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -9,7 +9,7 @@
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Stage, Target};
 use comfreyhall_placement::engines_for;
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_routing::pick::rendezvous_rank;
 
 use super::Job;
 use crate::{
@@ -70,7 +70,7 @@
 /// Engines whose places are all in use come last: a copy ordered there waits,
 /// and the queues that it is to relieve grow meanwhile.
 fn due(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<Due> {
-    let cost_ms = view.board.reading_ms(view.prompt_tokens);
+    let cost_ms = view.board.read_duration_ms(view.prompt_tokens);
     let mut out = Vec::new();
     for (key, rate) in view.rush.rates(now) {
         let needed = engines_for(rate, cost_ms);
@@ -80,16 +80,16 @@
         let Some(adapter) = parse_key(&key).filter(|a| a.adapter.is_some()) else {
             continue;
         };
-        let held = view.residency.copies(&adapter);
+        let held = view.residency.copy_count(&adapter);
         let mut homes: Vec<_> = view
             .targets
             .values()
             .filter(|t| t.stage == Stage::Ready && t.holds(&adapter.model))
-            .filter(|t| view.residency.version(&adapter, &t.id).is_none())
+            .filter(|t| view.residency.held_version(&adapter, &t.id).is_none())
             .map(|t| {
                 let used = in_use.get(&t.id).map_or(0, Vec::len);
                 let full = used as u32 >= view.places(t);
-                ((full, home_rank(&key, &t.id)), t)
+                ((full, rendezvous_rank(&key, &t.id)), t)
             })
             .collect();
         homes.sort_by_key(|(rank, _)| *rank);
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -1,5 +1,5 @@
 use comfreyhall_domain::{AdapterRef, Held, Map, Name, Target};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::due;
 use crate::{node::View, quiet::target};
@@ -23,8 +23,8 @@
         prompt_tokens: 2_000.0,
         ..View::default()
     };
-    let held = Standing::Held(1);
-    view.residency.note(adapter, &"a".into(), held, 1_000);
+    let held = Presence::Held(1);
+    view.residency.record(adapter, &"a".into(), held, 1_000);
     for i in 0..requests {
         let at = 1_000 + u64::from(i) * 1_000 / u64::from(requests);
         view.wanted("m/a1", 1, at);
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -2,7 +2,7 @@
 
 use comfreyhall_domain::AdapterRef;
 use comfreyhall_placement::{Occupant, victim};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
 use crate::{
@@ -83,9 +83,10 @@
             since: now,
         };
         self.held.insert(adapter.clone(), hold);
-        let standing = Standing::Held(version);
+        let standing = Presence::Held(version);
         let mut view = self.node.view();
-        view.residency.note(adapter, &self.target.id, standing, now);
+        view.residency
+            .record(adapter, &self.target.id, standing, now);
         drop(view);
         self.node
             .fleet
@@ -194,7 +195,8 @@
         }
         let recent = {
             let view = self.node.view();
-            view.residency.recent(&job.adapter, &self.target.id, now)
+            view.residency
+                .likely_cached(&job.adapter, &self.target.id, now)
         };
         // What the engine has at hand does not come from the weight store.
         let window = self.node.policies().load_window;
@@ -214,7 +216,9 @@
         let (version, recent) = {
             let view = self.node.view();
             let named = view.named.get(&job.adapter).map_or(0, |n| n.version);
-            let recent = view.residency.recent(&job.adapter, &self.target.id, now);
+            let recent = view
+                .residency
+                .likely_cached(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
         let done = job.claim();
@@ -295,7 +299,7 @@
         let occupants: Vec<Occupant<AdapterRef>> = unused
             .map(|(adapter, hold)| Occupant {
                 score: view.demand.score(&key_of(adapter), now),
-                copies: view.residency.copies(adapter).saturating_sub(1),
+                copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since),
                 key: adapter.clone(),
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{IDLE_MS, Keeper, SETTLE};
 use crate::{
@@ -105,7 +105,7 @@
         self.held.remove(adapter);
         let mut view = self.node.view();
         view.residency
-            .note(adapter, &self.target.id, Standing::Absent, now);
+            .record(adapter, &self.target.id, Presence::Absent, now);
         drop(view);
         self.node.fleet.placed(&self.target.id, adapter, None);
         true
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -6,7 +6,7 @@
 use std::{sync::atomic::Ordering, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, IDLE_MS, Keeper, LOOK_MS, SETTLE, finish};
 use crate::{
@@ -101,15 +101,16 @@
     /// Shows what the engine holds to the request path.
     pub(super) fn show(&self, held: &Map<AdapterRef, Hold>, now: u64) {
         let mut view = self.node.view();
-        for (adapter, _) in view.residency.at(&self.target.id) {
+        for (adapter, _) in view.residency.held_adapters(&self.target.id) {
             if !held.contains_key(&adapter) {
                 view.residency
-                    .note(&adapter, &self.target.id, Standing::Absent, now);
+                    .record(&adapter, &self.target.id, Presence::Absent, now);
             }
         }
         for (adapter, hold) in held {
-            let standing = Standing::Held(hold.version);
-            view.residency.note(adapter, &self.target.id, standing, now);
+            let standing = Presence::Held(hold.version);
+            view.residency
+                .record(adapter, &self.target.id, standing, now);
         }
     }
 
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -11,7 +11,7 @@
 use comfreyhall_domain::{AdapterRef, Config, Map, Name, Ranks, Target};
 use comfreyhall_life::{Life, Stage};
 use comfreyhall_placement::{Demand, Hold, engines_for};
-use comfreyhall_routing::{Board, Budget, Prefixes, Residency};
+use comfreyhall_routing::{PrefixIndex, Residency, RetryBudget, TargetStats};
 use comfreyhall_settings::{NodeSettings, Policies};
 use tokio::sync::Notify;
 
@@ -73,10 +73,10 @@
     /// Targets known to be gone or restarted before the store says so, and
     /// since when.
     pub(crate) dead: Map<Name, u64>,
-    pub(crate) board: Board,
+    pub(crate) board: TargetStats,
     pub(crate) residency: Residency,
-    pub(crate) prefixes: Prefixes,
-    pub(crate) budgets: Map<Name, Budget>,
+    pub(crate) prefixes: PrefixIndex,
+    pub(crate) budgets: Map<Name, RetryBudget>,
     pub(crate) demand: Demand,
     /// The same over about a second.
     pub(crate) rush: Demand,
@@ -101,9 +101,9 @@
             targets: Map::default(),
             unread: Map::default(),
             dead: Map::default(),
-            board: Board::default(),
+            board: TargetStats::default(),
             residency: Residency::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             budgets: Map::default(),
             demand: Demand::new(DEMAND_HALF_LIFE_MS),
             rush: Demand::new(RUSH_HALF_LIFE_MS),
@@ -127,7 +127,7 @@
     /// for so often that it needs an engine in each of `groups`.
     pub(crate) fn asked(&mut self, key: &str, groups: usize, now: u64) -> bool {
         self.asked.bump(key, 1, now);
-        let cost_ms = self.board.reading_ms(self.prompt_tokens);
+        let cost_ms = self.board.read_duration_ms(self.prompt_tokens);
         let needed = engines_for(self.asked.rate(key, now), cost_ms);
         groups > 1 && needed as usize >= groups
     }
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -20,7 +20,7 @@
     Answer, Ask, Caller, Config, Engine, Kind, Name, Route, Verdict, answer_for,
 };
 use comfreyhall_quarantine::Fingerprint;
-use comfreyhall_routing::{Budget, admission};
+use comfreyhall_routing::{RetryBudget, admission};
 use futures::Stream;
 use http::{HeaderMap, StatusCode};
 use rand::Rng;
@@ -336,7 +336,7 @@
 
     /// Whether a wait of `wait_ms` would be too long for it.
     fn refuses(&self, wait_ms: f64) -> bool {
-        admission::refuse(wait_ms, self.left(), self.route.target_ms, self.rank)
+        admission::should_refuse(wait_ms, self.left(), self.route.target_ms, self.rank)
     }
 
     /// Whether it may only go where it was sent before.
@@ -360,7 +360,7 @@
     }
 
     fn hold_end(&self) -> u64 {
-        let most = admission::hold_ms(self.limit - self.began, self.route.target_ms);
+        let most = admission::max_hold_ms(self.limit - self.began, self.route.target_ms);
         self.began + most
     }
 
@@ -371,9 +371,9 @@
         let mut view = self.node.view();
         let budget = view.budgets.entry(self.service.clone()).or_insert_with(|| {
             let window = (bounds.retry_s * 1_000.0) as u64;
-            Budget::new(window, bounds.retry_ratio, bounds.retry_allowance)
+            RetryBudget::new(window, bounds.retry_ratio, bounds.retry_allowance)
         });
-        budget.request(now);
+        budget.record_request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
             let key = key_of(adapter);
             view.wanted(&key, 1, now);
@@ -391,7 +391,7 @@
         let daemons = self.node.fleet.size(now);
         let mut view = self.node.view();
         let budget = view.budgets.get_mut(&self.service);
-        let granted = budget.is_some_and(|b| b.repeat(now, daemons));
+        let granted = budget.is_some_and(|b| b.try_retry(now, daemons));
         drop(view);
         self.node.metrics.repeat(granted);
         granted
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Job, LOOK_MS, send::UNREACHED_MS};
 use crate::{
@@ -102,8 +102,8 @@
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Standing::Held(bound.version);
-            view.residency.note(adapter, &bound.target, standing, now);
+            let standing = Presence::Held(bound.version);
+            view.residency.record(adapter, &bound.target, standing, now);
         }
         if bound.hot {
             view.heat(adapter, now);
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use comfreyhall_domain::{Kind, Name, Outcome, Refusal};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
 
@@ -218,7 +218,8 @@
         match (refusal, &self.ask.adapter) {
             (Refusal::Elsewhere, Some(adapter)) => {
                 let mut view = self.node.view();
-                view.residency.note(adapter, target, Standing::Absent, now);
+                view.residency
+                    .record(adapter, target, Presence::Absent, now);
             }
             (Refusal::Elsewhere, None) => {
                 let until = now + UNREACHED_MS;
@@ -254,7 +255,7 @@
                     let now = self.node.now();
                     let mut view = self.node.view();
                     let target = &plan.target.id;
-                    view.prefixes.note(adapter, &self.ask.parts, target, now);
+                    view.prefixes.record(adapter, &self.ask.parts, target, now);
                 }
                 let job = self.take();
                 self.node.metrics.first(job.first);
@@ -322,7 +323,7 @@
         flight.note(ok, FAILED_WEIGHT);
         if ok {
             let took = flight.took();
-            self.node.view().board.learn_took(&flight.target, took);
+            self.node.view().board.record_duration(&flight.target, took);
         }
         self.verdict.add(Outcome::Answered);
         self.ran_whole();
--- a/crates/comfreyhall-routing/src/admission.rs
+++ b/crates/comfreyhall-routing/src/admission.rs
@@ -23,7 +23,7 @@
 
 /// Whether a request that would wait `wait_ms` is refused on arrival;
 /// `aim_ms`: its latency objective.
-pub fn refuse(wait_ms: f64, left_ms: u64, aim_ms: u64, priority: u8) -> bool {
+pub fn should_refuse(wait_ms: f64, left_ms: u64, aim_ms: u64, priority: u8) -> bool {
     let rank = usize::from(priority).min(WAIT_SHARE.len() - 1);
     let most = (left_ms as f64 * WAIT_SHARE[rank]).min(aim_ms as f64 * AIM_TIMES);
     wait_ms > most
@@ -35,7 +35,7 @@
 const HOLD_PARTS: (f64, f64) = (0.4, 1.0);
 
 /// Longest that a request with `total_ms` in all is held without a send.
-pub fn hold_ms(total_ms: u64, aim_ms: u64) -> u64 {
+pub fn max_hold_ms(total_ms: u64, aim_ms: u64) -> u64 {
     let (of_time, of_aim) = HOLD_PARTS;
     (total_ms as f64 * of_time).min(aim_ms as f64 * of_aim) as u64
 }
--- a/crates/comfreyhall-routing/src/board.rs
+++ b/crates/comfreyhall-routing/src/board.rs
@@ -1,7 +1,7 @@
 //! What is on each target's table, and how long a request would wait there.
 //!
 //! Model engines read prompts in turn, so the wait for a first token follows
-//! from the backlog of prompt tokens ([`Line`]), while slots stay nearly
+//! from the backlog of prompt tokens ([`LatencyModel`]), while slots stay nearly
 //! empty; plain services run a few requests at once, so
 //! their wait is how many there are over the slots. Daemons tell each other
 //! what they have sent; the line and the time of a request are learned from
@@ -11,7 +11,7 @@
 
 use crate::{
     health::Health,
-    speed::{Factor, Line},
+    speed::{LatencyModel, SpeedFactor},
 };
 
 /// Weight of one sample in the learned time of a plain request.
@@ -24,29 +24,29 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Work {
     /// Prompt tokens sent and not yet read.
-    pub prefill: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens of requests that wait for a load there.
-    pub waiting: u64,
+    pub waiting_tokens: u64,
     /// Requests sent and not yet answered whole.
-    pub running: u32,
+    pub requests: u32,
 }
 
 impl Work {
     /// Both together.
     pub fn plus(self, other: Work) -> Work {
         Work {
-            prefill: self.prefill + other.prefill,
-            waiting: self.waiting + other.waiting,
-            running: self.running + other.running,
+            prefill_tokens: self.prefill_tokens + other.prefill_tokens,
+            waiting_tokens: self.waiting_tokens + other.waiting_tokens,
+            requests: self.requests + other.requests,
         }
     }
 
     /// What is left of it without `other`.
     fn less(self, other: Work) -> Work {
         Work {
-            prefill: self.prefill.saturating_sub(other.prefill),
-            waiting: self.waiting.saturating_sub(other.waiting),
-            running: self.running.saturating_sub(other.running),
+            prefill_tokens: self.prefill_tokens.saturating_sub(other.prefill_tokens),
+            waiting_tokens: self.waiting_tokens.saturating_sub(other.waiting_tokens),
+            requests: self.requests.saturating_sub(other.requests),
         }
     }
 }
@@ -59,7 +59,7 @@
     /// Work of all others as one peer sums it up, and until when that holds.
     total: Option<(Work, u64)>,
     health: Health,
-    factor: Factor,
+    factor: SpeedFactor,
     took: Option<f64>,
 }
 
@@ -73,25 +73,25 @@
 
 /// The work and the health of every target.
 #[derive(Debug)]
-pub struct Board {
+pub struct TargetStats {
     entries: Map<Name, Entry>,
     /// What engines have in common.
-    line: Line,
+    line: LatencyModel,
     /// Time of a plain request at any target, in ms.
     took: f64,
 }
 
-impl Default for Board {
+impl Default for TargetStats {
     fn default() -> Self {
         Self {
             entries: Map::default(),
-            line: Line::default(),
+            line: LatencyModel::default(),
             took: FIRST_TOOK,
         }
     }
 }
 
-impl Board {
+impl TargetStats {
     fn entry(&mut self, target: &Name) -> &mut Entry {
         self.entries.entry(target.clone()).or_default()
     }
@@ -103,49 +103,49 @@
     }
 
     /// A request with `tokens` of prompt to read is sent.
-    pub fn begin(&mut self, target: &Name, tokens: u64) {
+    pub fn request_sent(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
-        own.prefill += tokens;
-        own.running += 1;
+        own.prefill_tokens += tokens;
+        own.requests += 1;
     }
 
     /// A request with `tokens` of prompt begins to wait for a load.
-    pub fn wait(&mut self, target: &Name, tokens: u64) {
-        self.entry(target).own.waiting += tokens;
+    pub fn load_wait_started(&mut self, target: &Name, tokens: u64) {
+        self.entry(target).own.waiting_tokens += tokens;
     }
 
     /// A request with `tokens` of prompt no longer waits for a load.
-    pub fn awaited(&mut self, target: &Name, tokens: u64) {
+    pub fn load_wait_ended(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
-        own.waiting = own.waiting.saturating_sub(tokens);
+        own.waiting_tokens = own.waiting_tokens.saturating_sub(tokens);
     }
 
     /// The prompt of `tokens` was read, or no longer needs to be.
-    pub fn read(&mut self, target: &Name, tokens: u64) {
+    pub fn prompt_read(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
-        own.prefill = own.prefill.saturating_sub(tokens);
+        own.prefill_tokens = own.prefill_tokens.saturating_sub(tokens);
     }
 
     /// A request ended.
-    pub fn end(&mut self, target: &Name) {
+    pub fn request_ended(&mut self, target: &Name) {
         let own = &mut self.entry(target).own;
-        own.running = own.running.saturating_sub(1);
+        own.requests = own.requests.saturating_sub(1);
     }
 
     /// Learns from a first token after `waited` ms that had `tokens` of
     /// prompt before it, its own included.
-    pub fn learn_wait(&mut self, target: &Name, tokens: u64, waited: u64) {
+    pub fn record_first_token(&mut self, target: &Name, tokens: u64, waited: u64) {
         if tokens == 0 {
             return;
         }
         let (tokens, waited) = (tokens as f64, waited as f64);
-        let expected = self.line.ms(tokens);
-        self.entry(target).factor.learn(waited, expected);
-        self.line.learn(tokens, waited);
+        let expected = self.line.predict_ms(tokens);
+        self.entry(target).factor.record(waited, expected);
+        self.line.record(tokens, waited);
     }
 
     /// Learns how long a plain request takes.
-    pub fn learn_took(&mut self, target: &Name, took: u64) {
+    pub fn record_duration(&mut self, target: &Name, took: u64) {
         let took = took as f64;
         self.took += GAIN * (took - self.took);
         let own = &mut self.entry(target).took;
@@ -154,15 +154,15 @@
     }
 
     /// Takes in how an answer was; `weight`: how much it proves.
-    pub fn note(&mut self, target: &Name, ok: bool, weight: f64, now: u64) {
-        self.entry(target).health.note(ok, weight, now);
+    pub fn record_outcome(&mut self, target: &Name, ok: bool, weight: f64, now: u64) {
+        self.entry(target).health.record(ok, weight, now);
     }
 
     /// Takes in what `peer` has, at all targets; it counts until `until`.
     ///
     /// A peer names only targets where it has work. Without dropping what it
     /// named before, a request that has ended counts until then.
-    pub fn peer(&mut self, peer: &Name, works: &Map<Name, Work>, until: u64) {
+    pub fn set_peer_work(&mut self, peer: &Name, works: &Map<Name, Work>, until: u64) {
         for (target, entry) in &mut self.entries {
             if !works.contains_key(target) {
                 entry.peers.remove(peer);
@@ -175,7 +175,7 @@
     }
 
     /// `peer` has `work` more at `target`, which counts until `until`.
-    pub fn peer_more(&mut self, peer: &Name, target: &Name, work: Work, until: u64) {
+    pub fn add_peer_work(&mut self, peer: &Name, target: &Name, work: Work, until: u64) {
         let peers = &mut self.entry(target).peers;
         let (known, end) = peers.entry(peer.clone()).or_default();
         *known = known.plus(work);
@@ -183,7 +183,7 @@
     }
 
     /// `peer` has `work` less at `target`.
-    pub fn peer_less(&mut self, peer: &Name, target: &Name, work: Work) {
+    pub fn subtract_peer_work(&mut self, peer: &Name, target: &Name, work: Work) {
         if let Some((known, _)) = self.entry(target).peers.get_mut(peer) {
             *known = known.less(work);
         }
@@ -191,12 +191,12 @@
 
     /// Takes in what all others together have at `target`; until then it
     /// counts in place of what single peers told.
-    pub fn total(&mut self, target: &Name, work: Work, until: u64) {
+    pub fn set_others_work(&mut self, target: &Name, work: Work, until: u64) {
         self.entry(target).total = Some((work, until));
     }
 
     /// Work of this daemon, for its peers.
-    pub fn own(&self) -> impl Iterator<Item = (&Name, Work)> {
+    pub fn own_work(&self) -> impl Iterator<Item = (&Name, Work)> {
         let busy = self
             .entries
             .iter()
@@ -205,7 +205,7 @@
     }
 
     /// Work of all daemons at `target`.
-    pub fn work(&self, target: &Name, now: u64) -> Work {
+    pub fn total_work(&self, target: &Name, now: u64) -> Work {
         let Some(entry) = self.entries.get(target) else {
             return Work::default();
         };
@@ -216,13 +216,13 @@
     }
 
     /// Work at `target` of all daemons, from their own word.
-    pub fn told_by_all(&self, target: &Name, now: u64) -> Work {
+    pub fn reported_work(&self, target: &Name, now: u64) -> Work {
         let entry = self.entries.get(target);
         entry.map_or(Work::default(), |e| e.sum(now))
     }
 
     /// Work at `target` that `peer` told of lately.
-    pub fn told(&self, target: &Name, peer: &str, now: u64) -> Work {
+    pub fn peer_work(&self, target: &Name, peer: &str, now: u64) -> Work {
         let told = self.entries.get(target).and_then(|e| e.peers.get(peer));
         told.filter(|(_, until)| now <= *until)
             .map_or(Work::default(), |(work, _)| *work)
@@ -231,27 +231,30 @@
     /// Share of good answers to expect of `target`.
     pub fn health(&self, target: &Name, now: u64) -> f64 {
         let entry = self.entries.get(target);
-        entry.map_or(1.0, |e| e.health.share(now))
+        entry.map_or(1.0, |e| e.health.success_rate(now))
     }
 
     /// Ms until an engine would have read `tokens` more of prompt.
     pub fn prefill_ms(&self, target: &Name, tokens: u64, now: u64) -> f64 {
         let entry = self.entries.get(target);
         let factor = entry.map_or(1.0, |e| e.factor.get());
-        let work = self.work(target, now);
-        factor * self.line.ms((work.prefill + work.waiting + tokens) as f64)
+        let work = self.total_work(target, now);
+        factor
+            * self
+                .line
+                .predict_ms((work.prefill_tokens + work.waiting_tokens + tokens) as f64)
     }
 
     /// Ms for which a prompt of `tokens` keeps an engine reading.
-    pub fn reading_ms(&self, tokens: f64) -> f64 {
-        self.line.ms(tokens) - self.line.ms(0.0)
+    pub fn read_duration_ms(&self, tokens: f64) -> f64 {
+        self.line.predict_ms(tokens) - self.line.predict_ms(0.0)
     }
 
     /// Ms until a plain request would be answered by a target of `slots`.
     pub fn plain_ms(&self, target: &Name, slots: u32, now: u64) -> f64 {
         let entry = self.entries.get(target);
         let took = entry.and_then(|e| e.took).unwrap_or(self.took);
-        let running = f64::from(self.work(target, now).running);
+        let running = f64::from(self.total_work(target, now).requests);
         took * (1.0 + running / f64::from(slots.max(1)))
     }
 }
--- a/crates/comfreyhall-routing/src/budget.rs
+++ b/crates/comfreyhall-routing/src/budget.rs
@@ -15,7 +15,7 @@
 
 /// One daemon's part of a service's retry budget.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     window_ms: u64,
     ratio: f64,
     allowance: f64,
@@ -23,7 +23,7 @@
     repeats: VecDeque<u64>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Repeats within `window_ms` of at most `ratio` times the requests plus
     /// this daemon's part of `allowance`.
     pub fn new(window_ms: u64, ratio: f64, allowance: f64) -> Self {
@@ -46,7 +46,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: u64) {
+    pub fn record_request(&mut self, now: u64) {
         self.expire(now);
         self.requests.push_back(now);
     }
@@ -54,7 +54,7 @@
     /// Takes one repeat out of the budget; false if none is left.
     ///
     /// `daemons`: how many share the allowance.
-    pub fn repeat(&mut self, now: u64, daemons: usize) -> bool {
+    pub fn try_retry(&mut self, now: u64, daemons: usize) -> bool {
         self.expire(now);
         let part = self.allowance / daemons.max(1) as f64;
         let most = SAFETY * (self.ratio * self.requests.len() as f64 + part);
--- a/crates/comfreyhall-routing/src/health.rs
+++ b/crates/comfreyhall-routing/src/health.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes in one answer. `weight`: how much it proves.
-    pub fn note(&mut self, ok: bool, weight: f64, now: u64) {
+    pub fn record(&mut self, ok: bool, weight: f64, now: u64) {
         self.decay(now);
         match ok {
             true => self.good += weight,
@@ -41,7 +41,7 @@
     }
 
     /// Share of good answers to expect, 0 to 1.
-    pub fn share(&self, now: u64) -> f64 {
+    pub fn success_rate(&self, now: u64) -> f64 {
         let mut h = *self;
         h.decay(now);
         (h.good + PRIOR) / (h.good + h.bad + PRIOR)
--- a/crates/comfreyhall-routing/src/lib.rs
+++ b/crates/comfreyhall-routing/src/lib.rs
@@ -1,10 +1,10 @@
 //! Pure decisions about requests.
 //!
 //! Everything here takes the time as an argument, in milliseconds of a
-//! steady clock, and touches no network: [`Board`] estimates how long a
+//! steady clock, and touches no network: [`TargetStats`] estimates how long a
 //! request would wait at each target, [`Residency`] knows which target holds
-//! which adapter, [`Prefixes`] which prompt parts a target has read,
-//! [`pick`] compares targets, [`Budget`] bounds repeats over the fleet, and
+//! which adapter, [`PrefixIndex`] which prompt parts a target has read,
+//! [`pick`] compares targets, [`RetryBudget`] bounds repeats over the fleet, and
 //! [`admission`] says when to refuse and when to come back.
 
 pub mod admission;
@@ -16,12 +16,12 @@
 mod residency;
 mod speed;
 
-pub use board::{Board, Work};
-pub use budget::Budget;
+pub use board::{TargetStats, Work};
+pub use budget::RetryBudget;
 pub use health::Health;
-pub use prefix::Prefixes;
-pub use residency::{Residency, Standing};
-pub use speed::{Factor, Line};
+pub use prefix::PrefixIndex;
+pub use residency::{Presence, Residency};
+pub use speed::{LatencyModel, SpeedFactor};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-routing/src/pick.rs
+++ b/crates/comfreyhall-routing/src/pick.rs
@@ -35,35 +35,35 @@
 
 /// One target as a choice for one request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Choice {
+pub struct Candidate {
     /// The target.
     pub id: Name,
     /// Whether it is in our failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Estimated ms to the first token once it can start.
     pub wait_ms: f64,
     /// Ms of a load that has to come first; 0 if none.
     pub load_ms: f64,
     /// Whether the load comes from the weight store.
-    pub stored: bool,
+    pub from_store: bool,
     /// Whether the load pushes another adapter out.
     pub evicts: bool,
     /// What its prompt costs the streams that run there, in ms.
-    pub beside_ms: f64,
+    pub interference_ms: f64,
     /// Share of good answers to expect.
-    pub health: f64,
+    pub success_rate: f64,
     /// Whether it was tried for this request already.
     pub tried: bool,
 }
 
-impl Choice {
+impl Candidate {
     /// Expected ms, with `again_ms` as the price of a failed try.
-    pub fn cost(&self, again_ms: f64) -> f64 {
-        let far = if self.near { 0.0 } else { FAR_MS };
+    pub fn cost_ms(&self, again_ms: f64) -> f64 {
+        let far = if self.same_domain { 0.0 } else { FAR_MS };
         let evict = if self.evicts { EVICT_MS } else { 0.0 };
-        let store = if self.stored { STORE_MS } else { 0.0 };
-        let fail = (1.0 - self.health) * again_ms;
-        self.wait_ms + self.load_ms + self.beside_ms + far + evict + store + fail
+        let store = if self.from_store { STORE_MS } else { 0.0 };
+        let fail = (1.0 - self.success_rate) * again_ms;
+        self.wait_ms + self.load_ms + self.interference_ms + far + evict + store + fail
     }
 }
 
@@ -81,14 +81,19 @@
 }
 
 /// The cheapest choice, or one that shares its requests; `draw` decides.
-pub fn best(choices: &[Choice], again_ms: f64, spread: Spread, draw: u64) -> Option<&Choice> {
+pub fn select(
+    choices: &[Candidate],
+    again_ms: f64,
+    spread: Spread,
+    draw: u64,
+) -> Option<&Candidate> {
     let untried = choices.iter().any(|c| !c.tried);
     let open = || choices.iter().filter(|c| !c.tried || !untried);
-    let least = open().min_by(|a, b| a.cost(again_ms).total_cmp(&b.cost(again_ms)))?;
-    let least_ms = least.cost(again_ms);
+    let least = open().min_by(|a, b| a.cost_ms(again_ms).total_cmp(&b.cost_ms(again_ms)))?;
+    let least_ms = least.cost_ms(again_ms);
     match spread {
         Spread::Equal => {
-            let mut equal = open().filter(|c| c.cost(again_ms) <= least_ms + EQUAL_MS);
+            let mut equal = open().filter(|c| c.cost_ms(again_ms) <= least_ms + EQUAL_MS);
             let count = equal.clone().count() as u64;
             equal.nth((draw % count.max(1)) as usize)
         }
@@ -96,7 +101,7 @@
             // A load is never better than a choice that needs none and costs
             // about the same.
             let alike = || open().filter(|c| (c.load_ms > 0.0) == (least.load_ms > 0.0));
-            let weight = |c: &Choice| (-(c.cost(again_ms) - least_ms) / scale).exp();
+            let weight = |c: &Candidate| (-(c.cost_ms(again_ms) - least_ms) / scale).exp();
             let sum: f64 = alike().map(weight).sum();
             let mut left = sum * (draw as f64 / u64::MAX as f64);
             let drawn = alike().find(|c| {
@@ -115,7 +120,7 @@
 /// What goes wrong without it: a daemon knows only which prompts it sent to
 /// which engine itself, so each copy of a hot adapter reads each shared prompt
 /// anew, which takes 160 ms of an engine's time for 6,300 tokens.
-pub fn reader<'a>(
+pub fn prefix_engine<'a>(
     adapter: &str,
     parts: &[Part],
     holders: impl Iterator<Item = &'a Name>,
@@ -124,14 +129,14 @@
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
     let key = format!("{adapter}#{:x}", last.id);
-    holders.min_by_key(|t| home_rank(&key, t))
+    holders.min_by_key(|t| rendezvous_rank(&key, t))
 }
 
 /// Rank of `target` among the homes of `key`: lower comes first.
 ///
 /// Rendezvous hashing: every daemon ranks alike without talking, and the
 /// loss of a target moves only the adapters that had it as a home.
-pub fn home_rank(key: &str, target: &str) -> u64 {
+pub fn rendezvous_rank(key: &str, target: &str) -> u64 {
     let mut hash = FxHasher::default();
     key.hash(&mut hash);
     target.hash(&mut hash);
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -20,7 +20,7 @@
 
 /// Remembers which target read which chain of parts.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     read: Map<(u64, Name), u64>,
     order: VecDeque<(u64, Name)>,
 }
@@ -35,9 +35,9 @@
     })
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// Tokens of `parts` that `target` need not read again.
-    pub fn kept(&self, adapter: &AdapterRef, parts: &[Part], target: &Name) -> u64 {
+    pub fn cached_tokens(&self, adapter: &AdapterRef, parts: &[Part], target: &Name) -> u64 {
         chains(adapter, parts)
             .take_while(|(key, _)| self.read.contains_key(&(*key, target.clone())))
             .map(|(_, tokens)| u64::from(tokens))
@@ -45,7 +45,7 @@
     }
 
     /// `target` has read `parts`.
-    pub fn note(&mut self, adapter: &AdapterRef, parts: &[Part], target: &Name, now: u64) {
+    pub fn record(&mut self, adapter: &AdapterRef, parts: &[Part], target: &Name, now: u64) {
         for (key, _) in chains(adapter, parts) {
             let key = (key, target.clone());
             if self.read.insert(key.clone(), now).is_none() {
--- a/crates/comfreyhall-routing/src/residency.rs
+++ b/crates/comfreyhall-routing/src/residency.rs
@@ -13,7 +13,7 @@
 
 /// What is known of an adapter at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Presence {
     /// It holds this version.
     Held(u64),
     /// It does not hold it.
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    standing: Standing,
+    standing: Presence,
     /// When direct evidence came; 0 for the published list.
     at: u64,
     /// When it was last known to be held; 0 for never.
@@ -49,14 +49,14 @@
 
 impl Residency {
     /// Direct evidence at `now`.
-    pub fn note(&mut self, adapter: &AdapterRef, target: &Name, standing: Standing, now: u64) {
+    pub fn record(&mut self, adapter: &AdapterRef, target: &Name, standing: Presence, now: u64) {
         if adapter.adapter.is_none() {
             return;
         }
         let known = self.entry(adapter, target).map_or(0, |e| e.held);
         let held = match standing {
-            Standing::Held(_) => now,
-            Standing::Absent => known,
+            Presence::Held(_) => now,
+            Presence::Absent => known,
         };
         let entry = Entry {
             standing,
@@ -67,13 +67,13 @@
     }
 
     /// Takes over the list that `target` published.
-    pub fn publish(&mut self, target: &Target, now: u64) {
+    pub fn apply_report(&mut self, target: &Target, now: u64) {
         for (adapter, entry) in self.entries(&target.id) {
             let mut next = entry;
             if !fresh(&entry, now) {
-                next.standing = Standing::Absent;
+                next.standing = Presence::Absent;
             }
-            let absent = next.standing == Standing::Absent;
+            let absent = next.standing == Presence::Absent;
             let forgotten = absent && now.saturating_sub(next.held) >= RECENT_MS;
             self.put(&adapter, &target.id, (!forgotten).then_some(next));
         }
@@ -88,7 +88,7 @@
                     continue;
                 }
                 let seen = Entry {
-                    standing: Standing::Held(*version),
+                    standing: Presence::Held(*version),
                     at: 0,
                     held: now,
                 };
@@ -98,18 +98,18 @@
     }
 
     /// Whether `target` held `adapter` lately and so loads it quickly.
-    pub fn recent(&self, adapter: &AdapterRef, target: &Name, now: u64) -> bool {
+    pub fn likely_cached(&self, adapter: &AdapterRef, target: &Name, now: u64) -> bool {
         let entry = self.entry(adapter, target);
         entry.is_some_and(|e| e.held > 0 && now.saturating_sub(e.held) < RECENT_MS)
     }
 
     /// Targets that hold `adapter`.
-    pub fn copies(&self, adapter: &AdapterRef) -> u32 {
+    pub fn copy_count(&self, adapter: &AdapterRef) -> u32 {
         self.copies.get(adapter).copied().unwrap_or(0)
     }
 
     /// Adapters that `target` holds, counted.
-    pub fn count(&self, target: &Name) -> u32 {
+    pub fn adapter_count(&self, target: &Name) -> u32 {
         self.held.get(target).copied().unwrap_or(0)
     }
 
@@ -123,19 +123,19 @@
     }
 
     /// The version of `adapter` that `target` holds.
-    pub fn version(&self, adapter: &AdapterRef, target: &Name) -> Option<u64> {
+    pub fn held_version(&self, adapter: &AdapterRef, target: &Name) -> Option<u64> {
         match self.entry(adapter, target)?.standing {
-            Standing::Held(version) => Some(version),
-            Standing::Absent => None,
+            Presence::Held(version) => Some(version),
+            Presence::Absent => None,
         }
     }
 
     /// Adapters that `target` holds, with their versions.
-    pub fn at(&self, target: &Name) -> Vec<(AdapterRef, u64)> {
+    pub fn held_adapters(&self, target: &Name) -> Vec<(AdapterRef, u64)> {
         let entries = self.entries(target).into_iter();
         let held = entries.filter_map(|(adapter, entry)| match entry.standing {
-            Standing::Held(version) => Some((adapter, version)),
-            Standing::Absent => None,
+            Presence::Held(version) => Some((adapter, version)),
+            Presence::Absent => None,
         });
         held.collect()
     }
@@ -153,7 +153,7 @@
 
     /// Sets what is known of `adapter` at `target`; keeps the counts.
     fn put(&mut self, adapter: &AdapterRef, target: &Name, entry: Option<Entry>) {
-        let holds = |e: &Entry| matches!(e.standing, Standing::Held(_));
+        let holds = |e: &Entry| matches!(e.standing, Presence::Held(_));
         let after = entry.as_ref().is_some_and(holds);
         let entries = self.places.entry(target.clone()).or_default();
         let old = match entry {
--- a/crates/comfreyhall-routing/src/speed.rs
+++ b/crates/comfreyhall-routing/src/speed.rs
@@ -42,7 +42,7 @@
 
 /// The line of all engines: ms to the first token over tokens to be read.
 #[derive(Debug, Clone, Copy)]
-pub struct Line {
+pub struct LatencyModel {
     weight: f64,
     mean_x: f64,
     mean_y: f64,
@@ -50,7 +50,7 @@
     cov: f64,
 }
 
-impl Default for Line {
+impl Default for LatencyModel {
     fn default() -> Self {
         let (base, slope) = FIRST;
         let (mean_x, deviation) = FIRST_BACKLOG;
@@ -65,9 +65,9 @@
     }
 }
 
-impl Line {
+impl LatencyModel {
     /// Takes in that `tokens` took `ms`.
-    pub fn learn(&mut self, tokens: f64, ms: f64) {
+    pub fn record(&mut self, tokens: f64, ms: f64) {
         self.weight = self.weight * KEEP + 1.0;
         self.var_x *= KEEP;
         self.cov *= KEEP;
@@ -79,7 +79,7 @@
     }
 
     /// Ms to expect for `tokens`.
-    pub fn ms(&self, tokens: f64) -> f64 {
+    pub fn predict_ms(&self, tokens: f64) -> f64 {
         let slope = (self.cov / self.var_x.max(1.0)).clamp(SLOPES.0, SLOPES.1);
         let base = (self.mean_y - slope * self.mean_x).clamp(BASES.0, BASES.1);
         base + slope * tokens
@@ -88,17 +88,17 @@
 
 /// How one engine compares with the line.
 #[derive(Debug, Clone, Copy)]
-pub struct Factor(f64);
+pub struct SpeedFactor(f64);
 
-impl Default for Factor {
+impl Default for SpeedFactor {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Factor {
+impl SpeedFactor {
     /// Takes in a wait of `ms` where the line expected `expected`.
-    pub fn learn(&mut self, ms: f64, expected: f64) {
+    pub fn record(&mut self, ms: f64, expected: f64) {
         let sample = (ms / expected.max(1.0)).clamp(FACTORS.0, FACTORS.1);
         self.0 += GAIN * (sample - self.0);
     }
--- a/crates/comfreyhall-routing/src/tests.rs
+++ b/crates/comfreyhall-routing/src/tests.rs
@@ -1,7 +1,7 @@
 use comfreyhall_domain::{AdapterRef, Map, Name, Part};
 
 use crate::{
-    pick::{Choice, Spread},
+    pick::{Candidate, Spread},
     *,
 };
 
@@ -9,16 +9,16 @@
     s.into()
 }
 
-fn choice(id: &str, wait_ms: f64, load_ms: f64) -> Choice {
-    Choice {
+fn choice(id: &str, wait_ms: f64, load_ms: f64) -> Candidate {
+    Candidate {
         id: id.into(),
-        near: true,
+        same_domain: true,
         wait_ms,
         load_ms,
-        stored: false,
+        from_store: false,
         evicts: false,
-        beside_ms: 0.0,
-        health: 1.0,
+        interference_ms: 0.0,
+        success_rate: 1.0,
         tried: false,
     }
 }
@@ -35,13 +35,13 @@
 /// repeats were not bounded by the requests.
 #[test]
 fn repeat_bounded_by_requests() {
-    let mut b = Budget::new(10_000, 0.2, 14.0);
+    let mut b = RetryBudget::new(10_000, 0.2, 14.0);
     for i in 0..100 {
-        b.request(i);
+        b.record_request(i);
     }
-    let granted = (0..100).filter(|_| b.repeat(100, 7)).count();
+    let granted = (0..100).filter(|_| b.try_retry(100, 7)).count();
     assert_eq!(granted, 15);
-    assert!(b.repeat(20_000, 1));
+    assert!(b.try_retry(20_000, 1));
 }
 
 /// Symptom: a third of the loads from the weight store brought back what some
@@ -50,12 +50,12 @@
 #[test]
 fn best_at_hand_beats_store() {
     let kept = choice("kept", 300.0, 25.0);
-    let stored = Choice {
-        stored: true,
+    let stored = Candidate {
+        from_store: true,
         ..choice("other", 100.0, 250.0)
     };
     let both = [kept, stored];
-    let best = pick::best(&both, 500.0, Spread::Equal, 0).unwrap();
+    let best = pick::select(&both, 500.0, Spread::Equal, 0).unwrap();
     assert_eq!(&*best.id, "kept");
 }
 
@@ -75,26 +75,29 @@
     };
     let by_draw = reads(&|i| holders[(i / 34 % 2) as usize].clone());
     let agreed = reads(&|i| {
-        let reader = pick::reader("m/a1", &parts(i), holders.iter());
+        let reader = pick::prefix_engine("m/a1", &parts(i), holders.iter());
         reader.unwrap().clone()
     });
     assert_eq!((by_draw, agreed), (68, 34));
     // Both take part.
-    let first = |i| pick::reader("m/a1", &parts(i), holders.iter());
+    let first = |i| pick::prefix_engine("m/a1", &parts(i), holders.iter());
     assert!((0..34).any(|i| first(i) != first(0)));
-    assert_eq!(pick::reader("m/a1", &parts(0)[..1], holders.iter()), None);
+    assert_eq!(
+        pick::prefix_engine("m/a1", &parts(0)[..1], holders.iter()),
+        None
+    );
 }
 
 #[test]
 fn best_copy_beats_long_queue() {
     let choices = [choice("hot", 600.0, 0.0), choice("idle", 100.0, 250.0)];
     assert_eq!(
-        &*pick::best(&choices, 500.0, Spread::Equal, 0).unwrap().id,
+        &*pick::select(&choices, 500.0, Spread::Equal, 0).unwrap().id,
         "idle"
     );
     let choices = [choice("hot", 300.0, 0.0), choice("idle", 100.0, 250.0)];
     assert_eq!(
-        &*pick::best(&choices, 500.0, Spread::Equal, 0).unwrap().id,
+        &*pick::select(&choices, 500.0, Spread::Equal, 0).unwrap().id,
         "hot"
     );
 }
@@ -103,7 +106,7 @@
 fn best_equal_spread_by_draw() {
     let choices = [choice("a", 100.0, 0.0), choice("b", 104.0, 0.0)];
     let at = |draw| {
-        pick::best(&choices, 500.0, Spread::Equal, draw)
+        pick::select(&choices, 500.0, Spread::Equal, draw)
             .unwrap()
             .id
             .clone()
@@ -133,13 +136,13 @@
         if !arrives {
             continue;
         }
-        let choices: Vec<Choice> = seen
+        let choices: Vec<Candidate> = seen
             .iter()
             .enumerate()
             .map(|(i, wait)| choice(&i.to_string(), *wait, 0.0))
             .collect();
         let mixed = draw.rotate_left(17).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let to = pick::best(&choices, 500.0, spread, mixed).unwrap();
+        let to = pick::select(&choices, 500.0, spread, mixed).unwrap();
         let to: usize = to.id.parse().unwrap();
         waited += queues[to];
         count += 1.0;
@@ -166,7 +169,7 @@
 fn best_stale_prefers_no_load() {
     let choices = [choice("held", 300.0, 0.0), choice("idle", 60.0, 250.0)];
     for draw in [0, u64::MAX / 2, u64::MAX] {
-        let best = pick::best(&choices, 500.0, Spread::Stale(150.0), draw).unwrap();
+        let best = pick::select(&choices, 500.0, Spread::Stale(150.0), draw).unwrap();
         assert_eq!(&*best.id, "held");
     }
 }
@@ -178,11 +181,11 @@
     let other = choice("b", 900.0, 0.0);
     let both = [tried.clone(), other];
     assert_eq!(
-        &*pick::best(&both, 500.0, Spread::Equal, 0).unwrap().id,
+        &*pick::select(&both, 500.0, Spread::Equal, 0).unwrap().id,
         "b"
     );
     assert_eq!(
-        &*pick::best(&[tried], 500.0, Spread::Equal, 0).unwrap().id,
+        &*pick::select(&[tried], 500.0, Spread::Equal, 0).unwrap().id,
         "a"
     );
 }
@@ -192,10 +195,10 @@
 /// that could take out every target.
 #[test]
 fn health_never_takes_all_out() {
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     let t = name("t");
     for i in 0..50 {
-        board.note(&t, false, 1.0, i);
+        board.record_outcome(&t, false, 1.0, i);
     }
     assert!(board.health(&t, 50) < 0.2);
     assert!(board.health(&t, 30_000) > 0.95);
@@ -203,61 +206,65 @@
 
 #[test]
 fn work_sums_own_and_fresh_peers() {
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     let t = name("t");
-    board.begin(&t, 100);
+    board.request_sent(&t, 100);
     let told = Work {
-        waiting: 0,
-        prefill: 50,
-        running: 1,
+        waiting_tokens: 0,
+        prefill_tokens: 50,
+        requests: 1,
     };
     let works = |w: &[(Name, Work)]| w.iter().cloned().collect::<Map<Name, Work>>();
-    board.peer(&name("p"), &works(&[(t.clone(), told)]), 2_000);
-    assert_eq!(board.work(&t, 1_500).prefill, 150);
-    assert_eq!(board.work(&t, 5_000).prefill, 100);
-    board.peer(&name("p"), &works(&[(t.clone(), told)]), 7_000);
-    board.peer(&name("p"), &works(&[]), 7_100);
-    assert_eq!(board.work(&t, 6_100).prefill, 100, "it ended there");
-    board.total(&t, told, 7_000);
-    assert_eq!(board.work(&t, 6_900).prefill, 150);
-    assert_eq!(board.work(&t, 7_001).prefill, 100);
-    board.read(&t, 100);
-    board.end(&t);
-    assert_eq!(board.own().count(), 0);
+    board.set_peer_work(&name("p"), &works(&[(t.clone(), told)]), 2_000);
+    assert_eq!(board.total_work(&t, 1_500).prefill_tokens, 150);
+    assert_eq!(board.total_work(&t, 5_000).prefill_tokens, 100);
+    board.set_peer_work(&name("p"), &works(&[(t.clone(), told)]), 7_000);
+    board.set_peer_work(&name("p"), &works(&[]), 7_100);
+    assert_eq!(
+        board.total_work(&t, 6_100).prefill_tokens,
+        100,
+        "it ended there"
+    );
+    board.set_others_work(&t, told, 7_000);
+    assert_eq!(board.total_work(&t, 6_900).prefill_tokens, 150);
+    assert_eq!(board.total_work(&t, 7_001).prefill_tokens, 100);
+    board.prompt_read(&t, 100);
+    board.request_ended(&t);
+    assert_eq!(board.own_work().count(), 0);
 }
 
 #[test]
 fn peer_more_counts_until_less() {
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     let (p, t) = (name("p"), name("t"));
     let work = |prefill, running| Work {
-        prefill,
-        running,
-        waiting: 0,
+        prefill_tokens: prefill,
+        requests: running,
+        waiting_tokens: 0,
     };
-    board.peer_more(&p, &t, work(300, 1), 1_000);
-    board.peer_more(&p, &t, work(200, 1), 1_500);
-    assert_eq!(board.work(&t, 1_400), work(500, 2));
-    board.peer_less(&p, &t, work(300, 0));
-    board.peer_less(&p, &t, work(0, 1));
-    assert_eq!(board.work(&t, 1_400), work(200, 1));
+    board.add_peer_work(&p, &t, work(300, 1), 1_000);
+    board.add_peer_work(&p, &t, work(200, 1), 1_500);
+    assert_eq!(board.total_work(&t, 1_400), work(500, 2));
+    board.subtract_peer_work(&p, &t, work(300, 0));
+    board.subtract_peer_work(&p, &t, work(0, 1));
+    assert_eq!(board.total_work(&t, 1_400), work(200, 1));
     // Work that was told of and ended meanwhile is not counted below none.
-    board.peer_less(&p, &t, work(900, 9));
-    assert_eq!(board.work(&t, 1_400), work(0, 0));
-    assert_eq!(board.work(&t, 1_501), work(0, 0));
+    board.subtract_peer_work(&p, &t, work(900, 9));
+    assert_eq!(board.total_work(&t, 1_400), work(0, 0));
+    assert_eq!(board.total_work(&t, 1_501), work(0, 0));
 }
 
 #[test]
 fn kept_counts_unbroken_chain() {
-    let mut p = Prefixes::default();
+    let mut p = PrefixIndex::default();
     let part = |id, tokens| Part { id, tokens };
     let t = name("t");
-    p.note(&adapter(), &[part(1, 300), part(2, 200)], &t, 0);
+    p.record(&adapter(), &[part(1, 300), part(2, 200)], &t, 0);
     let same = [part(1, 300), part(2, 200), part(9, 50)];
-    assert_eq!(p.kept(&adapter(), &same, &t), 500);
+    assert_eq!(p.cached_tokens(&adapter(), &same, &t), 500);
     let other = [part(3, 300), part(2, 200)];
-    assert_eq!(p.kept(&adapter(), &other, &t), 0);
-    assert_eq!(p.kept(&adapter(), &same, &name("u")), 0);
+    assert_eq!(p.cached_tokens(&adapter(), &other, &t), 0);
+    assert_eq!(p.cached_tokens(&adapter(), &same, &name("u")), 0);
 }
 
 /// Symptom: an adapter that had just been loaded was ordered again.
@@ -267,23 +274,33 @@
 fn count_and_copies_follow_what_is_held() {
     let mut r = Residency::default();
     let (a, b) = (name("a"), name("b"));
-    r.note(&adapter(), &a, Standing::Held(1), 1_000);
-    r.note(&adapter(), &a, Standing::Held(2), 1_100);
-    r.note(&adapter(), &b, Standing::Held(1), 1_200);
-    assert_eq!((r.copies(&adapter()), r.count(&a), r.count(&b)), (2, 1, 1));
-    r.note(&adapter(), &a, Standing::Absent, 1_300);
-    r.note(&adapter(), &a, Standing::Absent, 1_400);
-    assert_eq!((r.copies(&adapter()), r.count(&a)), (1, 0));
-    assert!(r.recent(&adapter(), &a, 1_500), "it is at hand there");
+    r.record(&adapter(), &a, Presence::Held(1), 1_000);
+    r.record(&adapter(), &a, Presence::Held(2), 1_100);
+    r.record(&adapter(), &b, Presence::Held(1), 1_200);
+    assert_eq!(
+        (
+            r.copy_count(&adapter()),
+            r.adapter_count(&a),
+            r.adapter_count(&b)
+        ),
+        (2, 1, 1)
+    );
+    r.record(&adapter(), &a, Presence::Absent, 1_300);
+    r.record(&adapter(), &a, Presence::Absent, 1_400);
+    assert_eq!((r.copy_count(&adapter()), r.adapter_count(&a)), (1, 0));
+    assert!(
+        r.likely_cached(&adapter(), &a, 1_500),
+        "it is at hand there"
+    );
     r.remove(&b);
-    assert_eq!((r.copies(&adapter()), r.count(&b)), (0, 0));
+    assert_eq!((r.copy_count(&adapter()), r.adapter_count(&b)), (0, 0));
 }
 
 #[test]
 fn publish_old_list_keeps_fresh_evidence() {
     let mut r = Residency::default();
     let t = name("t");
-    r.note(&adapter(), &t, Standing::Held(2), 1_000);
+    r.record(&adapter(), &t, Presence::Held(2), 1_000);
     let list = comfreyhall_domain::Target {
         id: t.clone(),
         name: t.clone(),
@@ -297,16 +314,16 @@
         sequence: 0,
         version: 0,
     };
-    r.publish(&list, 1_500);
-    assert_eq!(r.version(&adapter(), &t), Some(2));
-    r.publish(&list, 9_000);
-    assert_eq!(r.version(&adapter(), &t), None);
+    r.apply_report(&list, 1_500);
+    assert_eq!(r.held_version(&adapter(), &t), Some(2));
+    r.apply_report(&list, 9_000);
+    assert_eq!(r.held_version(&adapter(), &t), None);
 }
 
 #[test]
 fn refuse_lower_rank_sooner() {
-    assert!(!admission::refuse(600.0, 1_000, 1_000, 0));
-    assert!(admission::refuse(600.0, 1_000, 1_000, 2));
+    assert!(!admission::should_refuse(600.0, 1_000, 1_000, 0));
+    assert!(admission::should_refuse(600.0, 1_000, 1_000, 2));
 }
 
 #[test]
@@ -326,14 +343,14 @@
 #[test]
 fn prefill_ms_long_queue_not_overrated() {
     let (engine, slow) = (name("e"), name("slow"));
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     let took = |tokens: u64| 115 + tokens / 25;
     for i in 0..400 {
         let tokens = 1_000 + 50 * (i % 20);
-        board.learn_wait(&engine, tokens, took(tokens));
+        board.record_first_token(&engine, tokens, took(tokens));
         if i % 10 == 0 {
-            board.learn_wait(&engine, 8_000, took(8_000));
-            board.learn_wait(&slow, 2_000, 4 * took(2_000));
+            board.record_first_token(&engine, 8_000, took(8_000));
+            board.record_first_token(&slow, 2_000, 4 * took(2_000));
         }
     }
     let expect = |target, tokens| board.prefill_ms(target, tokens, 0);
@@ -350,10 +367,10 @@
 /// quarter of a minute. Cause: each engine's speed was learned by itself.
 #[test]
 fn prefill_ms_unknown_engine_like_others() {
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     for i in 0..600_u64 {
         let tokens = 500 + 37 * (i % 200);
-        board.learn_wait(&name("e"), tokens, 60 + tokens / 50);
+        board.record_first_token(&name("e"), tokens, 60 + tokens / 50);
     }
     let known = board.prefill_ms(&name("e"), 4_000, 0);
     let new = board.prefill_ms(&name("new"), 4_000, 0);
@@ -364,11 +381,14 @@
 /// of each target.
 #[test]
 fn plain_ms_slow_answer_is_forgotten() {
-    let mut board = Board::default();
+    let mut board = TargetStats::default();
     let target = "t".into();
-    board.learn_took(&target, 2_000);
+    board.record_duration(&target, 2_000);
     let aim_ms = 300;
     let minute = 60_000;
     let wait_ms = board.plain_ms(&target, 8, minute);
-    assert!(!admission::refuse(wait_ms, 2_000, aim_ms, 0), "{wait_ms}");
+    assert!(
+        !admission::should_refuse(wait_ms, 2_000, aim_ms, 0),
+        "{wait_ms}"
+    );
 }
--- a/crates/comfreyhall-routing/tests/stale_news.rs
+++ b/crates/comfreyhall-routing/tests/stale_news.rs
@@ -9,8 +9,8 @@
 
 use comfreyhall_domain::{Map, Name};
 use comfreyhall_routing::{
-    Board, Work,
-    pick::{Choice, Spread, best},
+    TargetStats, Work,
+    pick::{Candidate, Spread, select},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -51,7 +51,7 @@
 fn play(view: View, seed: u64) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let engines: Vec<Name> = (0..ENGINES).map(|i| name("e", i)).collect();
-    let mut boards: Vec<Board> = (0..DAEMONS).map(|_| Board::default()).collect();
+    let mut boards: Vec<TargetStats> = (0..DAEMONS).map(|_| TargetStats::default()).collect();
     let mut queues: Vec<VecDeque<Prompt>> = (0..ENGINES).map(|_| VecDeque::new()).collect();
     let mut waits = Vec::new();
     for now in 0..LENGTH_MS {
@@ -62,8 +62,8 @@
             first.left -= SPEED;
             if first.left <= 0.0 {
                 let done = queue.pop_front().unwrap();
-                boards[done.daemon].read(&engines[e], done.tokens);
-                boards[done.daemon].end(&engines[e]);
+                boards[done.daemon].prompt_read(&engines[e], done.tokens);
+                boards[done.daemon].request_ended(&engines[e]);
                 waits.push(now - done.came);
             }
         }
@@ -80,25 +80,25 @@
         let share: f64 = rng.random();
         let tokens = (PROMPTS.0 + (PROMPTS.1 - PROMPTS.0) * share.powi(3)) as u64;
         let board = &mut boards[daemon];
-        let choice = |id: &Name| Choice {
+        let choice = |id: &Name| Candidate {
             id: id.clone(),
-            near: true,
+            same_domain: true,
             wait_ms: board.prefill_ms(id, tokens, now),
             load_ms: 0.0,
-            stored: false,
+            from_store: false,
             evicts: false,
-            beside_ms: 0.0,
-            health: 1.0,
+            interference_ms: 0.0,
+            success_rate: 1.0,
             tried: false,
         };
-        let choices: Vec<Choice> = engines.iter().map(choice).collect();
+        let choices: Vec<Candidate> = engines.iter().map(choice).collect();
         let spread = match view {
             View::News => Spread::Stale(150.0),
             View::Bound => Spread::Equal,
         };
-        let chosen = best(&choices, 1_000.0, spread, rng.random()).unwrap();
+        let chosen = select(&choices, 1_000.0, spread, rng.random()).unwrap();
         let e = engines.iter().position(|id| *id == chosen.id).unwrap();
-        board.begin(&engines[e], tokens);
+        board.request_sent(&engines[e], tokens);
         queues[e].push_back(Prompt {
             daemon,
             tokens,
@@ -111,15 +111,15 @@
 }
 
 /// Gives every daemon the sums of what all others have.
-fn tell(boards: &mut [Board], engines: &[Name], now: u64) {
-    let own = |b: &Board| b.own().map(|(id, w)| (id.clone(), w)).collect();
+fn tell(boards: &mut [TargetStats], engines: &[Name], now: u64) {
+    let own = |b: &TargetStats| b.own_work().map(|(id, w)| (id.clone(), w)).collect();
     let works: Vec<Map<Name, Work>> = boards.iter().map(own).collect();
     for (d, board) in boards.iter_mut().enumerate() {
         for engine in engines {
             let others = works.iter().enumerate().filter(|(i, _)| *i != d);
             let sum = others.filter_map(|(_, w)| w.get(engine));
             let sum = sum.fold(Work::default(), |sum, w| sum.plus(*w));
-            board.total(engine, sum, now + 2 * NEWS_MS);
+            board.set_others_work(engine, sum, now + 2 * NEWS_MS);
         }
     }
 }
