--- a/crates/comfreyhall-daemon/src/app.rs
+++ b/crates/comfreyhall-daemon/src/app.rs
@@ -78,7 +78,7 @@
         let table = Table::new(&settings.platform.table)?;
         let catalog = Catalog::new(table.clone(), &instance.id);
         let kind = policy.unwrap_or(settings.tuning.policy);
-        let policy = comfreyhall_placement::build(kind, settings.tuning.half_life_ms);
+        let policy = comfreyhall_placement::build_policy(kind, settings.tuning.half_life_ms);
         let clients = settings
             .engines
             .iter()
--- a/crates/comfreyhall-daemon/src/engines.rs
+++ b/crates/comfreyhall-daemon/src/engines.rs
@@ -21,8 +21,8 @@
         id: engine.id.clone(),
         slots: Vec::new(),
         capacity: engine.slots,
-        load: 0,
-        width: engine.width,
+        requests: 0,
+        batch_width: engine.width,
         up: true,
     }
 }
@@ -42,8 +42,8 @@
         id: engine.id.clone(),
         slots,
         capacity: engine.slots,
-        load: status.queued + status.active,
-        width: status.width,
+        requests: status.queued + status.active,
+        batch_width: status.width,
         up: true,
     }
 }
--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -146,7 +146,7 @@
     let now = app.now_ms();
     let mut policy = app.policy();
     for d in report.demands {
-        policy.note(&d.key, d.requests, now);
+        policy.record_requests(&d.key, d.requests, now);
     }
 }
 
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use comfreyhall_domain::{AdapterRef, Ask, Engine, Kind, Map, Name, Part, Route, Target, Tokens};
-use comfreyhall_placement::PlaceTime;
+use comfreyhall_placement::SlotTimePrice;
 use comfreyhall_routing::{
     pick,
     pick::{Candidate, Spread},
@@ -300,7 +300,7 @@
         if let Some(prices) = prices {
             let streams = view.board.total_work(&t.id, now).requests;
             let reading = view.board.read_duration_ms(tokens as f64);
-            choice.interference_ms = prices.reading_ms(reading, streams);
+            choice.interference_ms = prices.read_cost_ms(reading, streams);
         }
         let away = hot && at_home && wish.group.is_none() && t.domain != domain;
         if away {
@@ -365,14 +365,14 @@
     engine: &Engine,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
-) -> Option<PlaceTime> {
+) -> Option<SlotTimePrice> {
     wish.group.filter(|_| node.policies().place_time)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
     let all = engine.places * targets.len() as u32;
-    Some(PlaceTime::new(used as u32, all, view.hold, wish.aim_ms))
+    Some(SlotTimePrice::new(used as u32, all, view.hold, wish.aim_ms))
 }
 
 /// Whether a stalled send may be abandoned for another.
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -164,7 +164,7 @@
             if let Some(run) = ended {
                 view.board.subtract_peer_work(&id, &target, run.work());
                 if run.bound > 0 && run.unread == 0 && run.adapter.is_some() {
-                    view.hold.learn(now.saturating_sub(run.bound));
+                    view.hold.record(now.saturating_sub(run.bound));
                 }
             }
             if event.good > 0.0 {
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -8,7 +8,7 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Stage, Target};
-use comfreyhall_placement::engines_for;
+use comfreyhall_placement::engines_needed;
 use comfreyhall_routing::pick::rendezvous_rank;
 
 use super::Job;
@@ -73,7 +73,7 @@
     let cost_ms = view.board.read_duration_ms(view.prompt_tokens);
     let mut out = Vec::new();
     for (key, rate) in view.rush.rates(now) {
-        let needed = engines_for(rate, cost_ms);
+        let needed = engines_needed(rate, cost_ms);
         if needed < 2 {
             continue;
         }
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -1,7 +1,7 @@
 //! Adapters into places: which job next, which adapter goes, when it is there.
 
 use comfreyhall_domain::AdapterRef;
-use comfreyhall_placement::{Occupant, victim};
+use comfreyhall_placement::{EvictionCandidate, select_victim};
 use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
@@ -180,7 +180,7 @@
             return Some("report");
         }
         let now = self.node.now();
-        if now.saturating_sub(job.waiting.since) < job.extra_ms {
+        if now.saturating_sub(job.waiting.arrived_ms) < job.extra_ms {
             return Some("turn");
         }
         // Another engine loads it for somebody else, and serves this one too
@@ -237,7 +237,7 @@
                     ordered: now,
                     look: now + ((expected * FIRST_LOOK) as u64).max(LOOK_MS),
                     recent,
-                    queued: now.saturating_sub(job.waiting.since),
+                    queued: now.saturating_sub(job.waiting.arrived_ms),
                     blocked: job.blocked,
                     done: done.into_iter().collect(),
                 };
@@ -296,15 +296,15 @@
         let pinned = self.node.fleet.in_use_at(&self.target.id, now);
         let view = self.node.view();
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
-        let occupants: Vec<Occupant<AdapterRef>> = unused
-            .map(|(adapter, hold)| Occupant {
+        let occupants: Vec<EvictionCandidate<AdapterRef>> = unused
+            .map(|(adapter, hold)| EvictionCandidate {
                 score: view.demand.score(&key_of(adapter), now),
-                copies: view.residency.copy_count(adapter).saturating_sub(1),
+                other_copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since),
                 key: adapter.clone(),
             })
             .collect();
-        victim(&occupants).map(|o| o.key.clone())
+        select_victim(&occupants).map(|o| o.key.clone())
     }
 }
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -25,7 +25,7 @@
 };
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Target};
-use comfreyhall_placement::{Ceiling, Waiting, Window};
+use comfreyhall_placement::{LoadRateLimit, LoadWindow, QueuedRequest};
 use tokio::sync::mpsc;
 
 use self::ticket::{Done, Ticket};
@@ -68,7 +68,7 @@
     adapter: AdapterRef,
     /// Least version that will do; 0 for any.
     version: u64,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     /// Who waits for it; `None` for a load that nobody waits for yet.
     ticket: Option<Arc<Ticket>>,
     /// Ms more than at the best engine that serving it here would take.
@@ -85,10 +85,10 @@
         Self {
             adapter,
             version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: 0,
-                since: now,
-                aim: now + STUCK_MS,
+                arrived_ms: now,
+                start_by_ms: now + STUCK_MS,
             },
             ticket: None,
             extra_ms: 0,
@@ -131,9 +131,9 @@
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
     /// Loads on their way from the weight store.
     coming: AtomicU32,
-    window: Mutex<Window>,
+    window: Mutex<LoadWindow>,
     /// Model loads begun lately.
-    models: Mutex<Ceiling>,
+    models: Mutex<LoadRateLimit>,
     times: Mutex<[f64; 2]>,
 }
 
@@ -151,7 +151,7 @@
 }
 
 impl Keepers {
-    fn window(&self) -> MutexGuard<'_, Window> {
+    fn window(&self) -> MutexGuard<'_, LoadWindow> {
         self.window.lock().expect("no holder of this lock panics")
     }
 
@@ -163,7 +163,7 @@
     /// Whether a model load may begin now.
     fn model_may_load(&self, rate: f64, part: f64, now: u64) -> bool {
         let mut models = self.models.lock().expect("no holder of this lock panics");
-        models.begin(rate, part, now)
+        models.try_start(rate, part, now)
     }
 
     /// Expected ms of a load.
@@ -175,7 +175,7 @@
     fn learn(&self, recent: bool, took: u64, now: u64) {
         if !recent {
             let full = self.store_full();
-            self.window().ended(took, full, now);
+            self.window().record_load(took, full, now);
         }
         let mut times = self.times.lock().expect("no holder of this lock panics");
         let time = &mut times[usize::from(recent)];
@@ -237,7 +237,7 @@
             let ours = engines(&node).into_iter();
             let ours = ours.filter(|t| node.token(&t.domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
-            node.keepers.window().open(ours.len());
+            node.keepers.window().init_for(ours.len());
             for target in &ours {
                 start(&node, target);
             }
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -59,7 +59,7 @@
         self.look_at_coming().await;
         self.renew_outdated().await;
         let now = self.node.now();
-        self.queue.sort_by_key(|j| j.waiting.rank(now));
+        self.queue.sort_by_key(|j| j.waiting.sort_key(now));
         self.full = false;
         let mut later = Vec::new();
         for job in std::mem::take(&mut self.queue) {
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_placement::Waiting;
+use comfreyhall_placement::QueuedRequest;
 use tokio::sync::oneshot;
 
 use super::{Job, Placed, Ticket, Unplaced, ticket::Gone};
@@ -48,10 +48,10 @@
         let job = Job {
             adapter: wish.adapter.clone(),
             version: wish.version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: wish.priority,
-                since: now,
-                aim: now + wish.aim_ms,
+                arrived_ms: now,
+                start_by_ms: now + wish.aim_ms,
             },
             ticket: Some(ticket.clone()),
             extra_ms: pick.extra_ms,
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -10,7 +10,7 @@
 
 use comfreyhall_domain::{AdapterRef, Config, Map, Name, Ranks, Target};
 use comfreyhall_life::{Life, Stage};
-use comfreyhall_placement::{Demand, Hold, engines_for};
+use comfreyhall_placement::{Demand, HoldTime, engines_needed};
 use comfreyhall_routing::{PrefixIndex, Residency, RetryBudget, TargetStats};
 use comfreyhall_settings::{NodeSettings, Policies};
 use tokio::sync::Notify;
@@ -87,7 +87,7 @@
     /// Mean prompt tokens of a request.
     pub(crate) prompt_tokens: f64,
     /// How long runs hold their places.
-    pub(crate) hold: Hold,
+    pub(crate) hold: HoldTime,
     pub(crate) book: Book,
 }
 
@@ -110,7 +110,7 @@
             asked: Demand::new(RUSH_HALF_LIFE_MS),
             hot: Map::default(),
             prompt_tokens: FIRST_PROMPT,
-            hold: Hold::default(),
+            hold: HoldTime::default(),
             book: Book::default(),
         }
     }
@@ -119,16 +119,16 @@
 impl View {
     /// Counts `requests` for the adapter `key`.
     pub(crate) fn wanted(&mut self, key: &str, requests: u32, now: u64) {
-        self.demand.bump(key, requests, now);
-        self.rush.bump(key, requests, now);
+        self.demand.record(key, requests, now);
+        self.rush.record(key, requests, now);
     }
 
     /// Counts a request for an engine; whether its adapter, `key`, is asked
     /// for so often that it needs an engine in each of `groups`.
     pub(crate) fn asked(&mut self, key: &str, groups: usize, now: u64) -> bool {
-        self.asked.bump(key, 1, now);
+        self.asked.record(key, 1, now);
         let cost_ms = self.board.read_duration_ms(self.prompt_tokens);
-        let needed = engines_for(self.asked.rate(key, now), cost_ms);
+        let needed = engines_needed(self.asked.rate(key, now), cost_ms);
         groups > 1 && needed as usize >= groups
     }
 
--- a/crates/comfreyhall-placement/src/ceiling.rs
+++ b/crates/comfreyhall-placement/src/ceiling.rs
@@ -12,16 +12,16 @@
 
 /// Loads of one holder that have begun lately.
 #[derive(Debug, Default)]
-pub struct Ceiling {
+pub struct LoadRateLimit {
     begun: VecDeque<u64>,
 }
 
-impl Ceiling {
+impl LoadRateLimit {
     /// Takes a load out of the allowance; false if it has to wait.
     ///
     /// `rate`: loads a second over all engines. `part`: this holder's part of
     /// the engines, 0 to 1. At least one load a window is allowed.
-    pub fn begin(&mut self, rate: f64, part: f64, now: u64) -> bool {
+    pub fn try_start(&mut self, rate: f64, part: f64, now: u64) -> bool {
         while self.begun.front().is_some_and(|at| now >= at + WINDOW_MS) {
             self.begun.pop_front();
         }
--- a/crates/comfreyhall-placement/src/copies.rs
+++ b/crates/comfreyhall-placement/src/copies.rs
@@ -11,6 +11,6 @@
 /// What goes wrong without it: an adapter becomes hot within a second, each
 /// request chooses between a queue and a load, and copies come one load after
 /// the other while the queues at those that hold it grow past every objective.
-pub fn engines_for(rate: f64, cost_ms: f64) -> u32 {
+pub fn engines_needed(rate: f64, cost_ms: f64) -> u32 {
     (rate * cost_ms / 1_000.0 / FILL).ceil() as u32
 }
--- a/crates/comfreyhall-placement/src/demand.rs
+++ b/crates/comfreyhall-placement/src/demand.rs
@@ -65,7 +65,7 @@
     }
 
     /// Counts `requests` more for `key`; returns its score.
-    pub fn bump(&mut self, key: &str, requests: u32, now_ms: u64) -> f64 {
+    pub fn record(&mut self, key: &str, requests: u32, now_ms: u64) -> f64 {
         let value = self.count(key, now_ms) + f64::from(requests);
         let rate = Rate {
             value,
--- a/crates/comfreyhall-placement/src/frequency.rs
+++ b/crates/comfreyhall-placement/src/frequency.rs
@@ -23,11 +23,11 @@
 /// half-life. A victim is the evictable slot with the lowest score, and a new
 /// copy is only made when the requested adapter scores above that victim, so
 /// a burst of one-off requests cannot push out an adapter in steady use.
-pub struct Frequency {
+pub struct FrequencyPolicy {
     demand: Demand,
 }
 
-impl Frequency {
+impl FrequencyPolicy {
     /// A policy whose rates halve every `half_life_ms`.
     pub fn new(half_life_ms: u64) -> Self {
         Self {
@@ -84,18 +84,18 @@
     up.map(|e| e.capacity).sum()
 }
 
-impl Policy for Frequency {
-    fn note(&mut self, key: &str, requests: u32, now_ms: u64) {
-        self.demand.bump(key, requests, now_ms);
+impl Policy for FrequencyPolicy {
+    fn record_requests(&mut self, key: &str, requests: u32, now_ms: u64) {
+        self.demand.record(key, requests, now_ms);
     }
 
     fn route(&mut self, key: &str, engines: &[EngineView], now_ms: u64) -> Decision {
-        let score = self.demand.bump(key, 1, now_ms);
+        let score = self.demand.record(key, 1, now_ms);
         let resident = engines
             .iter()
             .enumerate()
             .filter(|(_, e)| e.up && e.holds(key))
-            .min_by_key(|(_, e)| e.load)
+            .min_by_key(|(_, e)| e.requests)
             .map(|(i, _)| i);
         if let Some(i) = resident
             && !engines[i].saturated()
@@ -126,7 +126,7 @@
             .filter(|(_, e)| e.up && !e.holds(key))
             .filter_map(|(i, e)| {
                 let cost = self.cost(e, &copies, spare_only, now_ms)?;
-                Some((i, cost, e.load))
+                Some((i, cost, e.requests))
             })
             .min_by(|a, b| a.1.0.total_cmp(&b.1.0).then(a.2.cmp(&b.2)));
         match (resident, target) {
--- a/crates/comfreyhall-placement/src/lib.rs
+++ b/crates/comfreyhall-placement/src/lib.rs
@@ -5,9 +5,9 @@
 //! Policies are pure: they read the view and their own history of requests
 //! and never talk to an engine, so they can be tested and measured alone.
 //!
-//! Two policies exist. [`Frequency`] keeps a decayed request rate per adapter
+//! Two policies exist. [`FrequencyPolicy`] keeps a decayed request rate per adapter
 //! version: a hot adapter keeps its slot against a burst of rare ones, and a
-//! hot adapter whose engines are saturated gets a second copy. [`Lru`] is the
+//! hot adapter whose engines are saturated gets a second copy. [`LruPolicy`] is the
 //! plain baseline that loads on demand and evicts the least recently used.
 //! Neither ever names a pinned or loading slot as a victim; the engine refuses
 //! such an eviction anyway, so a stale view cannot evict an adapter in use.
@@ -23,17 +23,17 @@
 mod view;
 mod window;
 
-pub use ceiling::Ceiling;
-pub use copies::engines_for;
+pub use ceiling::LoadRateLimit;
+pub use copies::engines_needed;
 pub use demand::Demand;
-pub use frequency::Frequency;
-pub use lru::Lru;
-pub use place_time::{Hold, PlaceTime};
-pub use queue::Waiting;
-pub use victim::{Occupant, victim};
+pub use frequency::FrequencyPolicy;
+pub use lru::LruPolicy;
+pub use place_time::{HoldTime, SlotTimePrice};
+pub use queue::QueuedRequest;
+pub use victim::{EvictionCandidate, select_victim};
 pub use view::{Decision, EngineView, SlotView};
 
-pub use window::Window;
+pub use window::LoadWindow;
 
 use comfreyhall_settings::PolicyKind;
 
@@ -45,14 +45,14 @@
     fn route(&mut self, key: &str, engines: &[EngineView], now_ms: u64) -> Decision;
 
     /// Learns of `requests` for `key` that were placed elsewhere.
-    fn note(&mut self, key: &str, requests: u32, now_ms: u64);
+    fn record_requests(&mut self, key: &str, requests: u32, now_ms: u64);
 }
 
 /// Builds the policy the settings name.
-pub fn build(kind: PolicyKind, half_life_ms: u64) -> Box<dyn Policy> {
+pub fn build_policy(kind: PolicyKind, half_life_ms: u64) -> Box<dyn Policy> {
     match kind {
-        PolicyKind::Frequency => Box::new(Frequency::new(half_life_ms)),
-        PolicyKind::Lru => Box::new(Lru::default()),
+        PolicyKind::Frequency => Box::new(FrequencyPolicy::new(half_life_ms)),
+        PolicyKind::Lru => Box::new(LruPolicy::default()),
     }
 }
 
--- a/crates/comfreyhall-placement/src/lru.rs
+++ b/crates/comfreyhall-placement/src/lru.rs
@@ -8,18 +8,18 @@
 
 /// Loads on demand and evicts the least recently used slot; never copies.
 #[derive(Default)]
-pub struct Lru {
+pub struct LruPolicy {
     used: Map<Arc<str>, u64>,
 }
 
-impl Lru {
+impl LruPolicy {
     fn last(&self, key: &str) -> u64 {
         self.used.get(key).copied().unwrap_or(0)
     }
 }
 
-impl Policy for Lru {
-    fn note(&mut self, key: &str, _: u32, now_ms: u64) {
+impl Policy for LruPolicy {
+    fn record_requests(&mut self, key: &str, _: u32, now_ms: u64) {
         self.used.insert(key.into(), now_ms);
     }
 
@@ -29,7 +29,7 @@
             .iter()
             .enumerate()
             .filter(|(_, e)| e.up && e.holds(key))
-            .min_by_key(|(_, e)| e.load);
+            .min_by_key(|(_, e)| e.requests);
         if let Some((engine, _)) = resident {
             return Decision::Run { engine };
         }
--- a/crates/comfreyhall-placement/src/place_time.rs
+++ b/crates/comfreyhall-placement/src/place_time.rs
@@ -20,49 +20,49 @@
 
 /// How long runs hold their places, learned from those that end.
 #[derive(Debug, Clone, Copy)]
-pub struct Hold(f64);
+pub struct HoldTime(f64);
 
-impl Default for Hold {
+impl Default for HoldTime {
     fn default() -> Self {
         Self(FIRST_HOLD_MS)
     }
 }
 
-impl Hold {
+impl HoldTime {
     /// A run has held its place for `ms`.
-    pub fn learn(&mut self, ms: u64) {
+    pub fn record(&mut self, ms: u64) {
         self.0 += GAIN * (ms as f64 - self.0);
     }
 
     /// Ms that a run holds its place.
-    pub fn ms(self) -> f64 {
+    pub fn mean_ms(self) -> f64 {
         self.0.max(1.0)
     }
 }
 
 /// The price of place-time in one group of engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlaceTime {
+pub struct SlotTimePrice {
     /// Ms of a caller's wait for each ms of a place.
     rate: f64,
 }
 
-impl PlaceTime {
+impl SlotTimePrice {
     /// The price where `used` of `all` places are in use.
     ///
     /// With all in use each `hold` of place-time is one request that finds
     /// none, and misses its objective of `aim_ms`.
-    pub fn new(used: u32, all: u32, hold: Hold, aim_ms: u64) -> Self {
+    pub fn new(used: u32, all: u32, hold: HoldTime, aim_ms: u64) -> Self {
         let part = f64::from(used) / f64::from(all.max(1));
         let scarce = ((part - FREE) / (1.0 - FREE)).clamp(0.0, 1.0);
         Self {
-            rate: scarce * aim_ms as f64 / hold.ms(),
+            rate: scarce * aim_ms as f64 / hold.mean_ms(),
         }
     }
 
     /// What reading for `reading_ms` beside `streams` costs those who wait for
     /// a place, in ms.
-    pub fn reading_ms(self, reading_ms: f64, streams: u32) -> f64 {
+    pub fn read_cost_ms(self, reading_ms: f64, streams: u32) -> f64 {
         self.rate * reading_ms * f64::from(streams)
     }
 }
--- a/crates/comfreyhall-placement/src/queue.rs
+++ b/crates/comfreyhall-placement/src/queue.rs
@@ -9,18 +9,18 @@
 
 /// One request that waits for a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Rank of its route; 0 first.
     pub priority: u32,
     /// When it came, in ms.
-    pub since: u64,
+    pub arrived_ms: u64,
     /// Until when a load must begin for it to meet its objective, in ms.
-    pub aim: u64,
+    pub start_by_ms: u64,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Sorts the next to be served first.
-    pub fn rank(&self, now: u64) -> (bool, u32, u64) {
-        (now > self.aim, self.priority, self.since)
+    pub fn sort_key(&self, now: u64) -> (bool, u32, u64) {
+        (now > self.start_by_ms, self.priority, self.arrived_ms)
     }
 }
--- a/crates/comfreyhall-placement/src/tests.rs
+++ b/crates/comfreyhall-placement/src/tests.rs
@@ -16,8 +16,8 @@
             })
             .collect(),
         capacity: 2,
-        load,
-        width: 4,
+        requests: load,
+        batch_width: 4,
         up: true,
     }
 }
@@ -25,7 +25,7 @@
 #[test]
 fn route_resident_runs() {
     let view = [engine("e1", &[("a@1", 0)], 0), engine("e2", &[], 0)];
-    let mut policy = Frequency::new(1_000);
+    let mut policy = FrequencyPolicy::new(1_000);
     assert_eq!(policy.route("a@1", &view, 0), Decision::Run { engine: 0 });
 }
 
@@ -36,8 +36,8 @@
         engine("e2", &[("c@1", 0)], 3),
     ];
     for mut policy in [
-        build(PolicyKind::Frequency, 1_000),
-        build(PolicyKind::Lru, 0),
+        build_policy(PolicyKind::Frequency, 1_000),
+        build_policy(PolicyKind::Lru, 0),
     ] {
         match policy.route("d@1", &view, 10) {
             Decision::Load { engine, .. } => assert_eq!(engine, 1),
@@ -53,7 +53,7 @@
     // both slots are full. Cause: recency alone ranks the hot adapter below a
     // slot touched a moment later. The frequency policy ranks by decayed rate.
     let view = [engine("e1", &[("hot@1", 0), ("warm@1", 0)], 0)];
-    let mut policy = Frequency::new(60_000);
+    let mut policy = FrequencyPolicy::new(60_000);
     for t in 0..20 {
         policy.route("hot@1", &view, t);
     }
@@ -73,11 +73,11 @@
     // own share of the demand. The others now report theirs.
     let view = [engine("e1", &[("hot@1", 0), ("warm@1", 0)], 0)];
     for mut policy in [
-        build(PolicyKind::Frequency, 60_000),
-        build(PolicyKind::Lru, 0),
+        build_policy(PolicyKind::Frequency, 60_000),
+        build_policy(PolicyKind::Lru, 0),
     ] {
         policy.route("warm@1", &view, 1);
-        policy.note("hot@1", 20, 2);
+        policy.record_requests("hot@1", 20, 2);
         match policy.route("rare@1", &view, 3) {
             Decision::Load { victims, .. } => assert_eq!(&*victims[0], "warm@1"),
             other => panic!("expected a load, got {other:?}"),
@@ -89,7 +89,7 @@
 fn route_copies_saturated_hot_adapter() {
     let mut view = [engine("e1", &[("hot@1", 0)], 4), engine("e2", &[], 0)];
     view[0].slots[0].pins = 4;
-    let mut policy = Frequency::new(60_000);
+    let mut policy = FrequencyPolicy::new(60_000);
     assert!(matches!(
         policy.route("hot@1", &view, 0),
         Decision::RunAndCopy {
@@ -118,7 +118,7 @@
         view.push(engine("busy", &[(&a, 1), (&b, 1)], 4));
     }
     view[0].slots[0].pins = 4;
-    let mut policy = Frequency::new(60_000);
+    let mut policy = FrequencyPolicy::new(60_000);
     for t in 0..10 {
         policy.route("hot@1", &view, t);
     }
@@ -148,7 +148,7 @@
         engine("e3", &[("cold@1", 0)], 0),
     ];
     view[2].slots[0].loading = true;
-    let mut policy = Frequency::new(60_000);
+    let mut policy = FrequencyPolicy::new(60_000);
     assert_eq!(policy.route("hot@1", &view, 0), Decision::Run { engine: 0 });
     view[2].slots[0].loading = false;
     let next = policy.route("hot@1", &view, 1);
@@ -169,7 +169,7 @@
             loading: false,
         });
     }
-    let mut policy = Frequency::new(60_000);
+    let mut policy = FrequencyPolicy::new(60_000);
     // 20 slots and two spare copies: no third.
     let next = policy.route("hot@1", &view, 0);
     assert!(matches!(next, Decision::Run { .. }), "{next:?}");
@@ -182,8 +182,8 @@
 fn route_all_pinned_is_busy() {
     let view = [engine("e1", &[("a@1", 1), ("b@1", 2)], 3)];
     for mut policy in [
-        build(PolicyKind::Frequency, 1_000),
-        build(PolicyKind::Lru, 0),
+        build_policy(PolicyKind::Frequency, 1_000),
+        build_policy(PolicyKind::Lru, 0),
     ] {
         assert_eq!(policy.route("c@1", &view, 0), Decision::Busy);
     }
@@ -207,8 +207,8 @@
                 id: "e".into(),
                 capacity: 3.max(slots.len() as u32),
                 slots,
-                load,
-                width: 4,
+                requests: load,
+                batch_width: 4,
                 up,
             }
         });
@@ -225,7 +225,7 @@
         asks in proptest::collection::vec(0u8..8, 1..30),
         lru in any::<bool>(),
     ) {
-        let mut policy = build(if lru { PolicyKind::Lru } else { PolicyKind::Frequency }, 500);
+        let mut policy = build_policy(if lru { PolicyKind::Lru } else { PolicyKind::Frequency }, 500);
         for (t, k) in asks.iter().enumerate() {
             let key = format!("a{k}@1");
             match policy.route(&key, &view, t as u64 * 10) {
@@ -256,11 +256,11 @@
     }
 }
 
-fn occupant(key: &'static str, score: f64, pins: u32) -> crate::Occupant<&'static str> {
-    crate::Occupant {
+fn occupant(key: &'static str, score: f64, pins: u32) -> crate::EvictionCandidate<&'static str> {
+    crate::EvictionCandidate {
         key,
         score,
-        copies: 0,
+        other_copies: 0,
         pins,
         age_ms: 10_000,
     }
@@ -273,8 +273,8 @@
         occupant("used", 1.0, 1),
         occupant("warm", 2.0, 0),
     ];
-    assert_eq!(crate::victim(&all).unwrap().key, "warm");
-    assert!(crate::victim(&all[1..2]).is_none());
+    assert_eq!(crate::select_victim(&all).unwrap().key, "warm");
+    assert!(crate::select_victim(&all[1..2]).is_none());
 }
 
 /// Symptom: in a burst nearly every stream began late. Events: more requests
@@ -284,26 +284,26 @@
 /// begin within 900 ms; with those in time first 49 do.
 #[test]
 fn rank_burst_in_time_first() {
-    let serve = |by: fn(&crate::Waiting, u64) -> (bool, u32, u64)| {
-        let mut queue: Vec<crate::Waiting> = Vec::new();
+    let serve = |by: fn(&crate::QueuedRequest, u64) -> (bool, u32, u64)| {
+        let mut queue: Vec<crate::QueuedRequest> = Vec::new();
         let mut met = 0;
         for now in (0..8_000).step_by(50) {
             if now < 4_000 {
-                queue.push(crate::Waiting {
+                queue.push(crate::QueuedRequest {
                     priority: 1,
-                    since: now,
-                    aim: now + 900,
+                    arrived_ms: now,
+                    start_by_ms: now + 900,
                 });
             }
             if now % 100 == 0 && !queue.is_empty() {
                 queue.sort_by_key(|w| by(w, now));
-                met += usize::from(queue.remove(0).aim >= now);
+                met += usize::from(queue.remove(0).start_by_ms >= now);
             }
         }
         met
     };
-    let by_arrival = serve(|w, _| (false, 0, w.since));
-    let in_time_first = serve(|w, now| w.rank(now));
+    let by_arrival = serve(|w, _| (false, 0, w.arrived_ms));
+    let in_time_first = serve(|w, now| w.sort_key(now));
     assert_eq!((by_arrival, in_time_first), (19, 49));
 }
 
@@ -315,9 +315,9 @@
 fn score_silence_ends_popularity() {
     let mut demand = crate::Demand::new(6_000);
     for at in (0..10_000).step_by(100) {
-        demand.bump("hot", 1, at);
+        demand.record("hot", 1, at);
     }
-    demand.bump("new", 1, 14_000);
+    demand.record("new", 1, 14_000);
     assert!(demand.score("hot", 10_000) > 40.0);
     assert!(demand.score("hot", 14_000) < 8.0);
     assert!(demand.score("hot", 36_000) < 1.0);
@@ -350,7 +350,7 @@
     odd: usize,
 ) -> (f64, f64) {
     let mut begun = 0;
-    let mut windows = vec![crate::Window::default(); daemons];
+    let mut windows = vec![crate::LoadWindow::default(); daemons];
     let mut loads: Vec<(usize, u64, f64)> = Vec::new();
     let (mut total, mut ended) = (0.0, 0.0);
     for now in 0..span.end {
@@ -367,7 +367,7 @@
         loads.iter_mut().for_each(|l| l.2 -= speed);
         let done: Vec<_> = loads.extract_if(.., |l| l.2 <= 0.0).collect();
         for (i, began, _) in done {
-            windows[i].ended(now - began, true, now);
+            windows[i].record_load(now - began, true, now);
             if span.contains(&now) {
                 total += (now - began) as f64;
                 ended += 1.0;
@@ -424,14 +424,14 @@
 /// Cause: each was ordered its load at once.
 #[test]
 fn begin_restarts_keep_to_rate() {
-    let mut ceiling = crate::Ceiling::default();
-    let begun = |ceiling: &mut crate::Ceiling, now| {
-        (0..30).filter(|_| ceiling.begin(2.8, 0.5, now)).count()
+    let mut ceiling = crate::LoadRateLimit::default();
+    let begun = |ceiling: &mut crate::LoadRateLimit, now| {
+        (0..30).filter(|_| ceiling.try_start(2.8, 0.5, now)).count()
     };
     assert_eq!(begun(&mut ceiling, 0), 7);
     assert_eq!(begun(&mut ceiling, 4_999), 0);
     assert_eq!(begun(&mut ceiling, 5_000), 7);
-    assert!(ceiling.begin(0.01, 0.1, 20_000));
+    assert!(ceiling.try_start(0.01, 0.1, 20_000));
 }
 
 /// Symptom: three quarters of all place-time went to one route, whose tokens
@@ -439,19 +439,19 @@
 /// streams. Cause: an engine full of streams looked as good as an idle one.
 #[test]
 fn reading_ms_beside_streams_costs_when_places_are_short() {
-    let mut hold = Hold::default();
+    let mut hold = HoldTime::default();
     for _ in 0..500 {
-        hold.learn(2_000);
+        hold.record(2_000);
     }
-    let short = PlaceTime::new(60, 60, hold, 1_000);
+    let short = SlotTimePrice::new(60, 60, hold, 1_000);
     // 300 ms beside eight streams: 2.4 s of places, a little over one run.
-    let beside = short.reading_ms(300.0, 8);
+    let beside = short.read_cost_ms(300.0, 8);
     assert!((1_150.0..1_250.0).contains(&beside), "{beside}");
-    assert_eq!(short.reading_ms(300.0, 0), 0.0);
-    let plenty = PlaceTime::new(30, 60, hold, 1_000);
-    assert_eq!(plenty.reading_ms(300.0, 8), 0.0);
-    let none = PlaceTime::new(0, 0, hold, 1_000);
-    assert_eq!(none.reading_ms(300.0, 8), 0.0);
+    assert_eq!(short.read_cost_ms(300.0, 0), 0.0);
+    let plenty = SlotTimePrice::new(30, 60, hold, 1_000);
+    assert_eq!(plenty.read_cost_ms(300.0, 8), 0.0);
+    let none = SlotTimePrice::new(0, 0, hold, 1_000);
+    assert_eq!(none.read_cost_ms(300.0, 8), 0.0);
 }
 
 /// Symptom: in the first second of a fleet of 156 engines, all of them empty,
@@ -460,14 +460,14 @@
 /// Cause: it began so whatever the size of the fleet.
 #[test]
 fn open_begins_by_engines() {
-    let mut window = Window::default();
-    window.open(4);
+    let mut window = LoadWindow::default();
+    window.init_for(4);
     assert_eq!(window.size(), 3);
-    window.open(31);
+    window.init_for(31);
     assert_eq!(window.size(), 12);
     // What loads have shown since goes before.
-    window.ended(250, true, 1_000);
+    window.record_load(250, true, 1_000);
     let learned = window.size();
-    window.open(200);
+    window.init_for(200);
     assert_eq!(window.size(), learned);
 }
--- a/crates/comfreyhall-placement/src/victim.rs
+++ b/crates/comfreyhall-placement/src/victim.rs
@@ -2,13 +2,13 @@
 
 /// One adapter on an engine, as a candidate to go.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Occupant<K> {
+pub struct EvictionCandidate<K> {
     /// The adapter.
     pub key: K,
     /// How much it is wanted.
     pub score: f64,
     /// Other engines that hold it.
-    pub copies: u32,
+    pub other_copies: u32,
     /// Requests that use it now.
     pub pins: u32,
     /// Ms since its load ended.
@@ -27,8 +27,8 @@
 /// 100 ms for a colder place to fall free than taking one that is far more
 /// wanted than the newcomer brings nothing: half of all loads then wait for a
 /// place, and their callers with them.
-pub fn victim<K>(occupants: &[Occupant<K>]) -> Option<&Occupant<K>> {
-    let share = |o: &Occupant<K>| o.score / f64::from(o.copies + 1);
+pub fn select_victim<K>(occupants: &[EvictionCandidate<K>]) -> Option<&EvictionCandidate<K>> {
+    let share = |o: &EvictionCandidate<K>| o.score / f64::from(o.other_copies + 1);
     occupants
         .iter()
         .filter(|o| o.pins == 0 && o.age_ms >= SETTLE_MS)
--- a/crates/comfreyhall-placement/src/view.rs
+++ b/crates/comfreyhall-placement/src/view.rs
@@ -30,9 +30,9 @@
     /// Number of slots in all.
     pub capacity: u32,
     /// Requests queued or running.
-    pub load: u32,
+    pub requests: u32,
     /// Sequences per batch step.
-    pub width: u32,
+    pub batch_width: u32,
     /// Whether the last poll answered.
     pub up: bool,
 }
@@ -55,7 +55,7 @@
 
     /// Whether more requests would only queue.
     pub fn saturated(&self) -> bool {
-        self.load >= self.width
+        self.requests >= self.batch_width
     }
 }
 
--- a/crates/comfreyhall-placement/src/window.rs
+++ b/crates/comfreyhall-placement/src/window.rs
@@ -45,7 +45,7 @@
 
 /// The window of one daemon.
 #[derive(Debug, Clone, Copy)]
-pub struct Window {
+pub struct LoadWindow {
     size: f64,
     /// Whether the store was never busy yet.
     opening: bool,
@@ -58,7 +58,7 @@
     calm_at: u64,
 }
 
-impl Default for Window {
+impl Default for LoadWindow {
     fn default() -> Self {
         Self {
             size: FIRST,
@@ -71,9 +71,9 @@
     }
 }
 
-impl Window {
+impl LoadWindow {
     /// It is for the loads of `engines`, if none has ended yet.
-    pub fn open(&mut self, engines: usize) {
+    pub fn init_for(&mut self, engines: usize) {
         if self.ended == 0 {
             self.size = (engines as f64 / ENGINES).clamp(FIRST, BOUNDS.1);
         }
@@ -85,7 +85,7 @@
     }
 
     /// A load took `took` ms and ended at `now`; `full`: the window was.
-    pub fn ended(&mut self, took: u64, full: bool, now: u64) {
+    pub fn record_load(&mut self, took: u64, full: bool, now: u64) {
         let took = took as f64;
         let since = now.saturating_sub(self.ended) as f64 / 1_000.0;
         self.ended = now;
