--- a/crates/comfreyhall-backpressure/src/gate.rs
+++ b/crates/comfreyhall-backpressure/src/gate.rs
@@ -11,13 +11,13 @@
 
 /// What a target says of its limit, and since when that is known.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word {
+pub struct LimitReport {
     /// Its limit; `None` if it has none any more.
     pub limit: Option<Rate>,
     /// When it was heard, in ms of this daemon's clock.
-    pub heard: u64,
+    pub received_ms: u64,
     /// Whether the target told this daemon itself.
-    pub own: bool,
+    pub direct: bool,
 }
 
 /// How long a target that leaves is remembered, in ms: it may go on for as long
@@ -32,7 +32,7 @@
         /// The new limit.
         limit: Rate,
         /// The one before, if there was one.
-        before: Option<Rate>,
+        previous: Option<Rate>,
     },
     /// It names no limit any more.
     Unlimited {
@@ -40,21 +40,21 @@
         after_ms: u64,
     },
     /// It wants nothing from this daemon for a while.
-    Resting {
+    CooldownStarted {
         /// For how long, in ms.
-        rest_ms: u64,
+        cooldown_ms: u64,
     },
     /// Its rest is over.
-    Rested,
+    CooldownEnded,
     /// It leaves.
-    Leaving,
+    Draining,
 }
 
 /// One start of a target.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gate {
+struct Signals {
     /// What it last said of its limit.
-    word: Option<Word>,
+    word: Option<LimitReport>,
     /// Since when it has a limit.
     since: u64,
     /// Until when it wants nothing from this daemon; 0 if it may be sent to.
@@ -63,14 +63,14 @@
     leaving: Option<u64>,
 }
 
-impl Gate {
+impl Signals {
     fn limit(&self, now: u64) -> Option<Rate> {
         self.recent(now)?.limit
     }
 
     /// What it said of its limit, if that counts still.
-    fn recent(&self, now: u64) -> Option<Word> {
-        let recent = |w: &Word| now.saturating_sub(w.heard) < FORGET_MS;
+    fn recent(&self, now: u64) -> Option<LimitReport> {
+        let recent = |w: &LimitReport| now.saturating_sub(w.received_ms) < FORGET_MS;
         self.word.filter(recent)
     }
 
@@ -87,11 +87,11 @@
 
 /// What targets have said, by the id of their start.
 #[derive(Debug, Default)]
-pub struct Gates {
-    gates: Map<Name, Gate>,
+pub struct TargetSignals {
+    gates: Map<Name, Signals>,
 }
 
-impl Gates {
+impl TargetSignals {
     /// Whether nothing is known of any target.
     pub fn is_empty(&self) -> bool {
         self.gates.is_empty()
@@ -100,7 +100,7 @@
     /// Takes in `notice` of `target`, read at `now` in the answer to a request
     /// that was sent at `sent`; `None` for answers to orders, reports and probes,
     /// which need not bear all that a target says.
-    pub fn hear(
+    pub fn record_notice(
         &mut self,
         target: &Name,
         notice: &Notice,
@@ -109,8 +109,8 @@
     ) -> Vec<Change> {
         let mut changes = Vec::new();
         changes.extend(self.hear_limit(target, notice.limit, sent, now));
-        changes.extend(notice.rest_ms.and_then(|ms| self.rest(target, ms, now)));
-        if notice.leaving {
+        changes.extend(notice.cooldown_ms.and_then(|ms| self.rest(target, ms, now)));
+        if notice.draining {
             changes.extend(self.leave(target, now));
         }
         changes
@@ -129,16 +129,17 @@
         let known = self.gates.get(target).and_then(|g| g.word);
         let limit = match (known.and_then(|w| w.limit), said) {
             (None, None) => return None,
-            (Some(before), said) if known.is_some_and(|w| sent < Some(w.heard)) => match said {
+            (Some(before), said) if known.is_some_and(|w| sent < Some(w.received_ms)) => match said
+            {
                 Some(limit) if limit < before => Some(limit),
                 _ => return None,
             },
             (_, said) => said,
         };
-        let word = Word {
+        let word = LimitReport {
             limit,
-            heard: now,
-            own: true,
+            received_ms: now,
+            direct: true,
         };
         self.put(target, word, now)
     }
@@ -148,7 +149,9 @@
         let gate = self.gates.entry(target.clone()).or_default();
         let began = gate.rest_until == 0;
         gate.rest_until = gate.rest_until.max(now + rest_ms);
-        began.then_some(Change::Resting { rest_ms })
+        began.then_some(Change::CooldownStarted {
+            cooldown_ms: rest_ms,
+        })
     }
 
     /// A start of a target that leaves does not come back.
@@ -156,28 +159,38 @@
         let gate = self.gates.entry(target.clone()).or_default();
         let began = gate.leaving.is_none();
         gate.leaving.get_or_insert(since);
-        began.then_some(Change::Leaving)
+        began.then_some(Change::Draining)
     }
 
     /// Takes in what `target` told another daemon, if it is newer than what is
     /// known here.
-    pub fn told(&mut self, target: &Name, word: Word, now: u64) -> Option<Change> {
+    pub fn record_reported_limit(
+        &mut self,
+        target: &Name,
+        word: LimitReport,
+        now: u64,
+    ) -> Option<Change> {
         let known = self.gates.get(target).and_then(|g| g.word);
-        let newer = known.is_none_or(|w| word.heard > w.heard);
-        let old = now.saturating_sub(word.heard) >= FORGET_MS;
+        let newer = known.is_none_or(|w| word.received_ms > w.received_ms);
+        let old = now.saturating_sub(word.received_ms) >= FORGET_MS;
         // The end of a limit that was not known says nothing.
         let says = word.limit.is_some() || known.is_some();
         (newer && says && !old).then(|| self.put(target, word, now))?
     }
 
     /// Takes in that `target` told another daemon `age_ms` ago that it leaves.
-    pub fn told_leaving(&mut self, target: &Name, age_ms: u64, now: u64) -> Option<Change> {
+    pub fn record_reported_drain(
+        &mut self,
+        target: &Name,
+        age_ms: u64,
+        now: u64,
+    ) -> Option<Change> {
         let since = now.saturating_sub(age_ms);
         (age_ms < LEAVING_MS).then(|| self.leave(target, since))?
     }
 
     /// Puts `word` in the place of what was known of `target`.
-    fn put(&mut self, target: &Name, word: Word, now: u64) -> Option<Change> {
+    fn put(&mut self, target: &Name, word: LimitReport, now: u64) -> Option<Change> {
         let gate = self.gates.entry(target.clone()).or_default();
         let before = gate.limit(now);
         if before.is_none() {
@@ -186,21 +199,22 @@
         gate.word = Some(word);
         let after_ms = now.saturating_sub(gate.since);
         match (before, word.limit) {
-            (before, Some(limit)) if before != Some(limit) => {
-                Some(Change::Limited { limit, before })
-            }
+            (before, Some(limit)) if before != Some(limit) => Some(Change::Limited {
+                limit,
+                previous: before,
+            }),
             (Some(_), None) => Some(Change::Unlimited { after_ms }),
             _ => None,
         }
     }
 
     /// Forgets what counts no more, and names what has ended with it.
-    pub fn sweep(&mut self, now: u64) -> Vec<(Name, Change)> {
+    pub fn expire(&mut self, now: u64) -> Vec<(Name, Change)> {
         let mut ended = Vec::new();
         for (target, gate) in &mut self.gates {
             if gate.rest_until > 0 && now >= gate.rest_until {
                 gate.rest_until = 0;
-                ended.push((target.clone(), Change::Rested));
+                ended.push((target.clone(), Change::CooldownEnded));
             }
             let lapsed = gate.word.filter(|_| gate.recent(now).is_none());
             if lapsed.is_some_and(|w| w.limit.is_some()) {
@@ -219,37 +233,37 @@
     }
 
     /// Whether `target` is known to leave.
-    pub fn leaves(&self, target: &str, now: u64) -> bool {
+    pub fn is_draining(&self, target: &str, now: u64) -> bool {
         self.gates.get(target).is_some_and(|g| g.leaves(now))
     }
 
     /// Ms for which `target` wants nothing from this daemon.
-    pub fn rest_ms(&self, target: &str, now: u64) -> u64 {
+    pub fn cooldown_ms(&self, target: &str, now: u64) -> u64 {
         let gate = self.gates.get(target);
         gate.map_or(0, |g| g.rest_until.saturating_sub(now))
     }
 
     /// What all targets have said of their limits.
-    pub fn words(&self, now: u64) -> impl Iterator<Item = (&Name, Word)> {
+    pub fn limit_reports(&self, now: u64) -> impl Iterator<Item = (&Name, LimitReport)> {
         let all = self.gates.iter();
         all.filter_map(move |(target, g)| Some((target, g.recent(now)?)))
     }
 
     /// Targets with a limit.
-    pub fn limited(&self, now: u64) -> impl Iterator<Item = (&Name, Rate)> {
+    pub fn limits(&self, now: u64) -> impl Iterator<Item = (&Name, Rate)> {
         let all = self.gates.iter();
         all.filter_map(move |(target, g)| Some((target, g.limit(now)?)))
     }
 
     /// Targets that are at rest, and for how many ms more.
-    pub fn resting(&self, now: u64) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn cooldowns(&self, now: u64) -> impl Iterator<Item = (&Name, u64)> {
         let all = self.gates.iter();
         let rest = all.map(move |(target, g)| (target, g.rest_until.saturating_sub(now)));
         rest.filter(|(_, ms)| *ms > 0)
     }
 
     /// Targets that are known to leave, and for how many ms.
-    pub fn leaving(&self, now: u64) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn draining(&self, now: u64) -> impl Iterator<Item = (&Name, u64)> {
         let leaving = self.gates.iter().filter(move |(_, g)| g.leaves(now));
         leaving.filter_map(move |(target, g)| Some((target, now.saturating_sub(g.leaving?))))
     }
--- a/crates/comfreyhall-backpressure/src/lib.rs
+++ b/crates/comfreyhall-backpressure/src/lib.rs
@@ -5,7 +5,7 @@
 //! as before, and a target that asked for less gets what it got. One notices
 //! targets that stay overloaded for as long as they say that they are.
 //!
-//! Every daemon keeps [`Gates`]: what each target last said. It belongs to one
+//! Every daemon keeps [`TargetSignals`]: what each target last said. It belongs to one
 //! start of the target, by its id; another start at the same address is free.
 //! Everything here takes the time as an argument, in ms of a steady clock, and
 //! touches no network.
@@ -15,10 +15,10 @@
 mod part;
 mod read;
 
-pub use gate::{Change, Gates, Word};
-pub use notice::{Notice, Odd, Rate};
-pub use part::Parts;
-pub use read::{read_leaving, read_limit, read_rest};
+pub use gate::{Change, LimitReport, TargetSignals};
+pub use notice::{Anomaly, Notice, Rate};
+pub use part::LimitShares;
+pub use read::{parse_cooldown, parse_draining, parse_limit};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-backpressure/src/notice.rs
+++ b/crates/comfreyhall-backpressure/src/notice.rs
@@ -24,7 +24,7 @@
     pub(crate) const UNREAD: Self = Self(UNREAD);
 
     /// The limit `per_s`; `None` if it is so high that it limits nothing.
-    pub fn of(per_s: f64) -> Option<Self> {
+    pub fn from_per_s(per_s: f64) -> Option<Self> {
         match per_s {
             _ if per_s.is_nan() => Some(Self::UNREAD),
             _ if per_s >= MOST => None,
@@ -40,34 +40,34 @@
 
 /// What is odd about a notice, and how it is taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Odd {
+pub enum Anomaly {
     /// Its limit is no number.
     #[error("the limit is no number, so one request a second is sent; name a number")]
-    LimitUnread,
+    LimitInvalid,
     /// Its limit is below the least.
     #[error("the limit is below 0.1 a second, so one request in 10 s is sent; name more, or leave")]
-    LimitLow,
+    LimitTooLow,
     /// Its limit is so high that it says nothing.
     #[error("the limit is over any rate, so it counts as none; leave it out")]
-    LimitHigh,
+    LimitTooHigh,
     /// Its rest is no number of seconds.
     #[error("the rest is no number of seconds, so 3 s are kept; give seconds, not a date")]
-    RestUnread,
+    CooldownInvalid,
     /// Its rest is below nothing.
     #[error("the rest is below 0 s, so none is kept; give more, or leave it out")]
-    RestLow,
+    CooldownNegative,
     /// Its rest is longer than any that is kept.
     #[error("the rest is over 300 s, so 300 s are kept; ask again then, or leave")]
-    RestLong,
+    CooldownTooLong,
     /// It asks for several rests.
     #[error("several rests are asked for, so the longest is kept; ask for one")]
-    RestTwice,
+    CooldownRepeated,
     /// Whether it leaves is neither yes nor no.
     #[error("whether it leaves is neither 0 nor 1, so it gets 3 s of rest; write 1 to leave")]
-    LeavingUnread,
+    DrainingInvalid,
     /// It names several limits.
     #[error("several limits are named, so the lowest counts; name one")]
-    LimitTwice,
+    LimitRepeated,
 }
 
 /// What a target says of itself in the head of one answer.
@@ -76,9 +76,9 @@
     /// Requests a second that it takes from all daemons together.
     pub limit: Option<Rate>,
     /// How long it wants nothing from this daemon, in ms.
-    pub rest_ms: Option<u64>,
+    pub cooldown_ms: Option<u64>,
     /// Whether this start of it leaves.
-    pub leaving: bool,
+    pub draining: bool,
     /// What in it was not read as written.
-    pub odd: Vec<Odd>,
+    pub anomalies: Vec<Anomaly>,
 }
--- a/crates/comfreyhall-backpressure/src/part.rs
+++ b/crates/comfreyhall-backpressure/src/part.rs
@@ -16,14 +16,14 @@
 
 /// Own parts of the limits of targets.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct LimitShares {
     gathered: Map<Name, Gathered>,
 }
 
-impl Parts {
+impl LimitShares {
     /// Takes one request of `target`, limited to `limit` over `daemons`; or ms
     /// until there is one.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         target: &Name,
         limit: Rate,
--- a/crates/comfreyhall-backpressure/tests/model.rs
+++ b/crates/comfreyhall-backpressure/tests/model.rs
@@ -4,7 +4,7 @@
 //! end leaves; daemons freeze and restart. Each daemon asks its gates before each
 //! send, and what the target got is held against what it had told.
 
-use comfreyhall_backpressure::{Gates, Notice, Rate};
+use comfreyhall_backpressure::{Notice, Rate, TargetSignals};
 use proptest::prelude::*;
 
 const DAEMONS: usize = 4;
@@ -51,7 +51,7 @@
 
 #[derive(Default)]
 struct Daemon {
-    gates: Gates,
+    gates: TargetSignals,
     boot: u64,
     frozen_until: u64,
     /// Until when it was told, and has read, to leave the target alone.
@@ -83,11 +83,13 @@
                 return true;
             }
             let sent = Some(answer.sent);
-            daemon.gates.hear(&"t".into(), &answer.notice, sent, now);
-            if let Some(ms) = answer.notice.rest_ms {
+            daemon
+                .gates
+                .record_notice(&"t".into(), &answer.notice, sent, now);
+            if let Some(ms) = answer.notice.cooldown_ms {
                 daemon.rest_until = daemon.rest_until.max(now + ms);
             }
-            daemon.told_leaving |= answer.notice.leaving;
+            daemon.told_leaving |= answer.notice.draining;
             false
         });
     }
@@ -99,16 +101,16 @@
         if now < daemon.frozen_until {
             return Ok(());
         }
-        let rests = daemon.gates.rest_ms("t", now) > 0;
-        if rests || daemon.gates.leaves("t", now) {
+        let rests = daemon.gates.cooldown_ms("t", now) > 0;
+        if rests || daemon.gates.is_draining("t", now) {
             return Ok(());
         }
         prop_assert!(now >= daemon.rest_until, "sent within a rest");
         prop_assert!(!daemon.told_leaving, "sent to one that leaves");
         let notice = Notice {
             limit: self.limit,
-            rest_ms: self.rest_ms.take(),
-            leaving: self.leaving,
+            cooldown_ms: self.rest_ms.take(),
+            draining: self.leaving,
             ..Notice::default()
         };
         if let Some(ms) = answer_ms {
@@ -128,7 +130,7 @@
             Step::Pass(ms) => self.now += ms,
             Step::Send(at, ms) => self.send(at, ms)?,
             Step::Limit(tenths) => {
-                self.limit = tenths.and_then(|t| Rate::of(f64::from(t) / 10.0));
+                self.limit = tenths.and_then(|t| Rate::from_per_s(f64::from(t) / 10.0));
             }
             Step::Rest(ms) => self.rest_ms = Some(ms),
             Step::Leave => self.leaving = true,
--- a/crates/comfreyhall-daemon/src/outbound.rs
+++ b/crates/comfreyhall-daemon/src/outbound.rs
@@ -7,7 +7,9 @@
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use comfreyhall_backpressure::{Change, Gates, Notice, Parts, read_leaving, read_limit, read_rest};
+use comfreyhall_backpressure::{
+    Change, LimitShares, Notice, TargetSignals, parse_cooldown, parse_draining, parse_limit,
+};
 use comfreyhall_placement::EngineView;
 use comfreyhall_protocol::notice::{LEAVING, LIMIT, REST, values};
 use tonic::{Response, Status, metadata::MetadataMap};
@@ -34,8 +36,8 @@
 
 #[derive(Default)]
 struct State {
-    gates: Gates,
-    parts: Parts,
+    gates: TargetSignals,
+    parts: LimitShares,
 }
 
 impl Outbound {
@@ -61,9 +63,9 @@
         return 0;
     }
     let (name, now) = (name(app, target), app.now_ms());
-    match state.gates.leaves(&name, now) {
+    match state.gates.is_draining(&name, now) {
         true => LEAVING_MS,
-        false => state.gates.rest_ms(&name, now),
+        false => state.gates.cooldown_ms(&name, now),
     }
 }
 
@@ -93,7 +95,7 @@
         return Ok(());
     };
     let daemons = app.inner.settings.instances.len();
-    let taken = state.parts.take(&name, limit, daemons, now);
+    let taken = state.parts.try_take(&name, limit, daemons, now);
     taken.map_err(RouteError::Shut)
 }
 
@@ -133,29 +135,29 @@
 
 fn take(app: &App, target: Target, sent: Option<u64>, metadata: &MetadataMap, turned: bool) {
     let mut odd = Vec::new();
-    let limit = read_limit(values(metadata, LIMIT), &mut odd);
+    let limit = parse_limit(values(metadata, LIMIT), &mut odd);
     let mut rest_ms = match turned {
-        true => read_rest(values(metadata, REST), &mut odd),
+        true => parse_cooldown(values(metadata, REST), &mut odd),
         false => None,
     };
-    let leaving = read_leaving(values(metadata, LEAVING), &mut rest_ms, &mut odd);
+    let leaving = parse_draining(values(metadata, LEAVING), &mut rest_ms, &mut odd);
     let notice = Notice {
         limit,
-        rest_ms,
-        leaving,
-        odd,
+        cooldown_ms: rest_ms,
+        draining: leaving,
+        anomalies: odd,
     };
     let (name, now) = (name(app, target), app.now_ms());
     let mut state = app.inner.outbound.state();
-    let changes = state.gates.hear(&name, &notice, sent, now);
+    let changes = state.gates.record_notice(&name, &notice, sent, now);
     let ended = match state.gates.is_empty() {
         true => Vec::new(),
-        false => state.gates.sweep(now),
+        false => state.gates.expire(now),
     };
     let State { gates, parts } = &mut *state;
     parts.retain(|target| gates.limit(target, now).is_some());
     drop(state);
-    for problem in notice.odd {
+    for problem in notice.anomalies {
         log::debug!(target: "outbound", "{name} says something odd: {problem}");
     }
     for change in changes {
@@ -174,10 +176,12 @@
         Change::Unlimited { after_ms } => {
             log::info!(target: "outbound", "{name} is no longer limited, after {after_ms} ms");
         }
-        Change::Resting { rest_ms } => {
+        Change::CooldownStarted {
+            cooldown_ms: rest_ms,
+        } => {
             log::info!(target: "outbound", "{name} wants {rest_ms} ms of rest");
         }
-        Change::Rested => log::info!(target: "outbound", "{name} has had its rest"),
-        Change::Leaving => log::info!(target: "outbound", "{name} leaves"),
+        Change::CooldownEnded => log::info!(target: "outbound", "{name} has had its rest"),
+        Change::Draining => log::info!(target: "outbound", "{name} leaves"),
     }
 }
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use comfreyhall_backpressure::{Rate, Word};
+use comfreyhall_backpressure::{LimitReport, Rate};
 use comfreyhall_domain::{Cap, Map, Name, Target, Unit};
 use comfreyhall_protocol::TargetWord;
 use comfreyhall_workspace::{Kept, home_group};
@@ -28,7 +28,7 @@
     if gates.is_empty() {
         return Map::default();
     }
-    let limited: Vec<(Name, Rate)> = gates.limited(now).map(|(t, r)| (t.clone(), r)).collect();
+    let limited: Vec<(Name, Rate)> = gates.limits(now).map(|(t, r)| (t.clone(), r)).collect();
     drop(gates);
     let groups = caps::groups(node);
     let kept = limited.into_iter().filter_map(|(target, rate)| {
@@ -86,18 +86,18 @@
     }
 }
 
-fn to_wire(target: &Name, word: Word, now: u64) -> TargetWord {
+fn to_wire(target: &Name, word: LimitReport, now: u64) -> TargetWord {
     TargetWord {
         target: target.to_string(),
         limit: word.limit.map_or(0.0, Rate::per_s),
-        age_ms: now.saturating_sub(word.heard),
+        age_ms: now.saturating_sub(word.received_ms),
         leaving: false,
     }
 }
 
 /// What targets of `group` told this daemon itself.
 pub(crate) fn own_words(node: &Node, group: &str) -> Vec<TargetWord> {
-    select(node, |word, of| word.own && of == group)
+    select(node, |word, of| word.direct && of == group)
 }
 
 /// What is known of targets of `group`.
@@ -114,11 +114,14 @@
     select(node, |_, of| held.iter().any(|(group, _)| **group == *of))
 }
 
-fn select(node: &Node, wanted: impl Fn(&Word, &str) -> bool) -> Vec<TargetWord> {
+fn select(node: &Node, wanted: impl Fn(&LimitReport, &str) -> bool) -> Vec<TargetWord> {
     let now = node.now();
-    let known: Vec<(Name, Word)> = {
+    let known: Vec<(Name, LimitReport)> = {
         let gates = node.outbound.gates();
-        gates.words(now).map(|(t, w)| (t.clone(), w)).collect()
+        gates
+            .limit_reports(now)
+            .map(|(t, w)| (t.clone(), w))
+            .collect()
     };
     let leaving = just_leaving(node, now);
     if known.is_empty() && leaving.is_empty() {
@@ -136,7 +139,7 @@
 /// tell it of everybody.
 fn just_leaving(node: &Node, now: u64) -> Vec<TargetWord> {
     let gates = node.outbound.gates();
-    let new = gates.leaving(now).filter(|(_, age)| *age < TELL_MS);
+    let new = gates.draining(now).filter(|(_, age)| *age < TELL_MS);
     let words = new.map(|(target, age_ms)| TargetWord {
         target: target.to_string(),
         age_ms,
@@ -156,18 +159,23 @@
             let change = node
                 .outbound
                 .gates()
-                .told_leaving(&target, told.age_ms, now);
+                .record_reported_drain(&target, told.age_ms, now);
             if let Some(change) = change {
                 log::changed(node, &target, change, from, told.age_ms);
             }
             continue;
         }
-        let word = Word {
-            limit: (told.limit > 0.0).then(|| Rate::of(told.limit)).flatten(),
-            heard: now.saturating_sub(told.age_ms),
-            own: false,
+        let word = LimitReport {
+            limit: (told.limit > 0.0)
+                .then(|| Rate::from_per_s(told.limit))
+                .flatten(),
+            received_ms: now.saturating_sub(told.age_ms),
+            direct: false,
         };
-        let change = node.outbound.gates().told(&target, word, now);
+        let change = node
+            .outbound
+            .gates()
+            .record_reported_limit(&target, word, now);
         if let Some(change) = change {
             log::changed(node, &target, change, from, told.age_ms);
             changed = true;
--- a/crates/comfreyhall-node/src/outbound/log.rs
+++ b/crates/comfreyhall-node/src/outbound/log.rs
@@ -7,7 +7,7 @@
 
 /// One line for each odd notice, but for a flood of them.
 pub(super) fn odd(node: &Node, target: &Target, notice: &Notice, now: u64) {
-    for problem in &notice.odd {
+    for problem in &notice.anomalies {
         if let Some(left_out) = node.flood.odd.take(now) {
             log::warn!(target: "outbound", id:% = target.id, problem:%, left_out; "target says something odd");
         }
@@ -18,7 +18,10 @@
 /// at most.
 pub(super) fn changed(node: &Node, target: &Name, change: Change, by: &str, age: u64) {
     match change {
-        Change::Limited { limit, before } => {
+        Change::Limited {
+            limit,
+            previous: before,
+        } => {
             let (limit, before) = (limit.per_s(), before.map_or(0.0, |b| b.per_s()));
             log::info!(target: "outbound", id:% = target, limit, before, by, age; "target limited");
             node.metrics.gate("limited");
@@ -27,15 +30,17 @@
             log::info!(target: "outbound", id:% = target, after = after_ms, by, age; "target no longer limited");
             node.metrics.gate("unlimited");
         }
-        Change::Resting { rest_ms } => {
+        Change::CooldownStarted {
+            cooldown_ms: rest_ms,
+        } => {
             log::info!(target: "outbound", id:% = target, rest = rest_ms, by, age; "target at rest");
             node.metrics.gate("resting");
         }
-        Change::Rested => {
+        Change::CooldownEnded => {
             log::info!(target: "outbound", id:% = target; "target no longer at rest");
             node.metrics.gate("rested");
         }
-        Change::Leaving => {
+        Change::Draining => {
             log::info!(target: "outbound", id:% = target, by, age; "target leaves");
             node.metrics.gate("leaving");
         }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -15,7 +15,7 @@
     time::Duration,
 };
 
-use comfreyhall_backpressure::{Change, Gates, Notice};
+use comfreyhall_backpressure::{Change, Notice, TargetSignals};
 use comfreyhall_domain::{Ask, Target};
 use rand::Rng;
 use tokio::time::timeout;
@@ -36,11 +36,11 @@
 /// What this daemon knows of what targets say.
 #[derive(Default)]
 pub(crate) struct Outbound {
-    gates: Mutex<Gates>,
+    gates: Mutex<TargetSignals>,
 }
 
 impl Outbound {
-    fn gates(&self) -> MutexGuard<'_, Gates> {
+    fn gates(&self) -> MutexGuard<'_, TargetSignals> {
         self.gates.lock().expect("no holder of this lock panics")
     }
 }
@@ -48,12 +48,12 @@
 /// The same with a rest that is somewhat longer. Daemons that were told together
 /// would come back together, and give the target no rest after its rest.
 fn spread(notice: &Notice) -> Cow<'_, Notice> {
-    let Some(rest_ms) = notice.rest_ms else {
+    let Some(rest_ms) = notice.cooldown_ms else {
         return Cow::Borrowed(notice);
     };
     let more = rand::rng().random_range(0..=rest_ms / REST_SPREAD);
     Cow::Owned(Notice {
-        rest_ms: Some(rest_ms + more),
+        cooldown_ms: Some(rest_ms + more),
         ..notice.clone()
     })
 }
@@ -64,7 +64,10 @@
     let now = node.now();
     log::odd(node, target, notice, now);
     let notice = spread(notice);
-    let changes = node.outbound.gates().hear(&target.id, &notice, sent, now);
+    let changes = node
+        .outbound
+        .gates()
+        .record_notice(&target.id, &notice, sent, now);
     // Most answers say nothing new.
     if changes.is_empty() {
         return;
@@ -83,7 +86,7 @@
 /// Forgets what targets said that counts no more.
 pub(crate) fn sweep(node: &Node) {
     let now = node.now();
-    let ended = node.outbound.gates().sweep(now);
+    let ended = node.outbound.gates().expire(now);
     for (target, change) in ended {
         log::changed(node, &target, change, "time", 0);
     }
@@ -192,7 +195,7 @@
 /// Looks whether `target` is there; not while it rests, but one that leaves is
 /// looked at to see whether it has ended.
 pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> Pulse {
-    if node.outbound.gates().rest_ms(&target.id, node.now()) > 0 {
+    if node.outbound.gates().cooldown_ms(&target.id, node.now()) > 0 {
         return Pulse::Silent;
     }
     let heard = node.backend.probe(target.clone()).await;
--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -26,20 +26,20 @@
 pub(crate) fn closed(node: &Node, target: &Name) -> Option<Closed> {
     let now = node.now();
     let gates = node.outbound.gates();
-    if gates.leaves(target, now) {
+    if gates.is_draining(target, now) {
         return Some(Closed {
             why: "it leaves",
             retry_ms: LEAVING_MS,
         });
     }
-    let retry_ms = gates.rest_ms(target, now);
+    let retry_ms = gates.cooldown_ms(target, now);
     let why = "it asked for rest";
     (retry_ms > 0).then_some(Closed { why, retry_ms })
 }
 
 /// Whether `target` has said that it leaves.
 pub(crate) fn leaves(node: &Node, target: &Name) -> bool {
-    node.outbound.gates().leaves(target, node.now())
+    node.outbound.gates().is_draining(target, node.now())
 }
 
 /// What the first few of `targets` said, for the log: a fleet of hundreds must
@@ -48,10 +48,10 @@
     let gates = node.outbound.gates();
     let said = targets.iter().take(NAMED).map(|t| {
         let id = &t.id;
-        if gates.leaves(id, now) {
+        if gates.is_draining(id, now) {
             return format!("{id} leaves");
         }
-        match (gates.rest_ms(id, now), gates.limit(id, now)) {
+        match (gates.cooldown_ms(id, now), gates.limit(id, now)) {
             (0, Some(limit)) => format!("{id} takes {} a second", limit.per_s()),
             (0, None) => format!("{id} said nothing"),
             (ms, _) => format!("{id} rests for {ms} ms"),
@@ -79,16 +79,16 @@
     pub(crate) fn now(node: &Node, now: u64) -> Self {
         let mut shut = Self::default();
         let gates = node.outbound.gates();
-        for (target, _) in gates.leaving(now) {
+        for (target, _) in gates.draining(now) {
             shut.sends.insert(target.clone(), LEAVING_MS);
             shut.loads.insert(target.clone());
         }
-        for (target, ms) in gates.resting(now) {
+        for (target, ms) in gates.cooldowns(now) {
             let known = shut.sends.entry(target.clone()).or_default();
             *known = ms.max(*known);
             shut.loads.insert(target.clone());
         }
-        for (target, _) in gates.limited(now) {
+        for (target, _) in gates.limits(now) {
             let ms = node.limits.closed_ms(target, now);
             if ms > 0 {
                 let known = shut.sends.entry(target.clone()).or_default();
