--- a/crates/comfreyhall-daemon/src/quarantine.rs
+++ b/crates/comfreyhall-daemon/src/quarantine.rs
@@ -13,7 +13,9 @@
 };
 
 use comfreyhall_protocol::{Findings, Map, StatusQuery, proves_not_run};
-use comfreyhall_quarantine::{Change, Evidence, Finding, Fingerprint, Heard, Quarantine, Status};
+use comfreyhall_quarantine::{
+    Change, Evidence, Fingerprint, Observation, Quarantine, Status, SyncPosition,
+};
 use rand::{Rng, seq::IteratorRandom};
 use tokio::net::TcpStream;
 
@@ -66,7 +68,7 @@
 #[derive(Default, Clone, Copy)]
 struct Link {
     /// Its findings that were heard here.
-    heard: Heard,
+    heard: SyncPosition,
     /// Number of the last finding of ours that it has heard.
     told: u64,
 }
@@ -91,8 +93,8 @@
     let rank = rank(app, fingerprint);
     let mut state = app.inner.quarantine.state();
     let retry_ms = match state.known.status(fingerprint, rank, app.now_ms()) {
-        Status::Free => return Ok(()),
-        Status::Held { retry_ms } => retry_ms,
+        Status::Allowed => return Ok(()),
+        Status::Quarantined { retry_ms } => retry_ms,
         Status::Trial => {
             let last = state.trials.get(fingerprint);
             if last.is_none_or(|at| at.elapsed() > TRIAL) {
@@ -123,14 +125,18 @@
         let Some(target) = ended(&app, at).await else {
             return;
         };
-        found(&app, fingerprint, Finding::Ended { target, early });
+        found(
+            &app,
+            fingerprint,
+            Observation::TargetEnded { target, early },
+        );
     });
 }
 
 /// A target ran `fingerprint` to its end.
 pub(crate) fn ran_whole(app: &App, fingerprint: Fingerprint) {
-    if app.inner.quarantine.state().known.suspects(&fingerprint) {
-        found(app, fingerprint, Finding::RanWhole);
+    if app.inner.quarantine.state().known.is_suspect(&fingerprint) {
+        found(app, fingerprint, Observation::Completed);
     }
 }
 
@@ -180,12 +186,12 @@
 }
 
 /// Takes in a finding of this daemon and tells all others.
-fn found(app: &App, fingerprint: Fingerprint, finding: Finding) {
+fn found(app: &App, fingerprint: Fingerprint, finding: Observation) {
     let evidence = Evidence {
         fingerprint,
-        finding,
-        at: app.now_ms(),
-        witness: app.instance.id.clone(),
+        observation: finding,
+        at_ms: app.now_ms(),
+        observer: app.instance.id.clone(),
     };
     if learn(app, evidence) {
         for peer in app.inner.peers.keys() {
@@ -199,7 +205,7 @@
     let now = app.now_ms();
     let mut state = app.inner.quarantine.state();
     let before = state.known.serial();
-    let changes = state.known.learn(evidence, now);
+    let changes = state.known.record(evidence, now);
     for change in &changes {
         note(app, &state.known, *change, now);
     }
@@ -208,19 +214,19 @@
 
 fn note(app: &App, known: &Quarantine, change: Change, now: u64) {
     let (fingerprint, what) = match change {
-        Change::Suspect(fingerprint) => (fingerprint, "is suspect"),
-        Change::Held(fingerprint) => (fingerprint, "is held back"),
-        Change::LetGo(fingerprint) => (fingerprint, "is let go"),
+        Change::Suspected(fingerprint) => (fingerprint, "is suspect"),
+        Change::Quarantined(fingerprint) => (fingerprint, "is held back"),
+        Change::Released(fingerprint) => (fingerprint, "is let go"),
     };
-    let ends = known.ends(&fingerprint).iter().map(|e| {
-        let age = now.saturating_sub(e.at);
-        format!("{} ended {age} ms ago, told by {}", e.target, e.witness)
+    let ends = known.target_ends(&fingerprint).iter().map(|e| {
+        let age = now.saturating_sub(e.at_ms);
+        format!("{} ended {age} ms ago, told by {}", e.target, e.observer)
     });
     let ends: Vec<String> = ends.collect();
     app.inner.metrics.quarantine(match change {
-        Change::Suspect(_) => "suspect",
-        Change::Held(_) => "held_back",
-        Change::LetGo(_) => "let_go",
+        Change::Suspected(_) => "suspect",
+        Change::Quarantined(_) => "held_back",
+        Change::Released(_) => "let_go",
     });
     log::warn!(target: "quarantine", "request {fingerprint} {what}: {}", ends.join("; "));
 }
@@ -235,7 +241,7 @@
         loop {
             tick.tick().await;
             let now = app.now_ms();
-            let changes = app.inner.quarantine.state().known.forget(now);
+            let changes = app.inner.quarantine.state().known.expire(now);
             for change in changes {
                 note(&app, &app.inner.quarantine.state().known, change, now);
             }
@@ -269,7 +275,7 @@
     let now = app.now_ms();
     let state = app.inner.quarantine.state();
     let link = state.links.get(peer).copied().unwrap_or_default();
-    let (told, last) = state.known.since(link.told);
+    let (told, last) = state.known.evidence_since(link.told);
     Findings {
         from: app.instance.id.to_string(),
         boot: app.inner.quarantine.boot,
@@ -295,7 +301,7 @@
     }
     let heard_us = theirs.heard_boot == app.inner.quarantine.boot;
     let link = Link {
-        heard: Heard {
+        heard: SyncPosition {
             boot: theirs.boot,
             serial: theirs.told_serial,
         },
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Set};
 use comfreyhall_protocol::{Cession, Daemon, Placed, fleet_client::FleetClient, link};
-use comfreyhall_quarantine::Heard;
+use comfreyhall_quarantine::SyncPosition;
 use comfreyhall_routing::pick;
 use comfreyhall_settings::NodeSettings;
 use rand::{Rng, seq::IteratorRandom};
@@ -102,7 +102,7 @@
     /// Number of the last finding it has heard from this daemon.
     findings: u64,
     /// Its findings that this daemon has heard.
-    heard_of: Heard,
+    heard_of: SyncPosition,
     /// Its clock in its last news.
     clock: u64,
 }
@@ -236,7 +236,7 @@
             demands: Map::default(),
             told,
             findings: 0,
-            heard_of: Heard::default(),
+            heard_of: SyncPosition::default(),
             clock: 0,
         });
     }
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -5,7 +5,7 @@
 use comfreyhall_domain::{Map, Name, Set};
 use comfreyhall_inforce::{InForce, Way};
 use comfreyhall_protocol::{Daemon, Demand, EngineRun, Holding, News, TargetWork};
-use comfreyhall_quarantine::Heard;
+use comfreyhall_quarantine::SyncPosition;
 use comfreyhall_routing::{Presence, Work};
 use rand::seq::IteratorRandom;
 
@@ -308,7 +308,7 @@
             true => news.heard_serial,
             false => 0,
         };
-        peer.heard_of = Heard {
+        peer.heard_of = SyncPosition {
             boot: from.boot,
             serial: news.told_serial,
         };
--- a/crates/comfreyhall-node/src/quarantine/log.rs
+++ b/crates/comfreyhall-node/src/quarantine/log.rs
@@ -1,14 +1,14 @@
 //! What is logged and counted of requests that end targets.
 
-use comfreyhall_quarantine::{Change, End, Evidence, Finding, Quarantine};
+use comfreyhall_quarantine::{Change, Evidence, Observation, Quarantine, TargetEnd};
 
 use crate::node::Node;
 
 /// Which targets ended, how long ago, and who saw it.
-pub(super) fn ends(ends: &[End], now: u64) -> String {
-    let one = |e: &End| {
-        let age = now.saturating_sub(e.at);
-        format!("{} {age} ms ago, told by {}", e.target, e.witness)
+pub(super) fn ends(ends: &[TargetEnd], now: u64) -> String {
+    let one = |e: &TargetEnd| {
+        let age = now.saturating_sub(e.at_ms);
+        format!("{} {age} ms ago, told by {}", e.target, e.observer)
     };
     let all: Vec<String> = ends.iter().map(one).collect();
     all.join("; ")
@@ -25,20 +25,20 @@
 ) {
     for change in changes {
         match change {
-            Change::Suspect(fingerprint) => {
+            Change::Suspected(fingerprint) => {
                 node.metrics.quarantine("suspect");
-                let evidence = ends(known.ends(fingerprint), now);
+                let evidence = ends(known.target_ends(fingerprint), now);
                 log::info!(target: "quarantine", fingerprint:%, evidence; "request suspect");
             }
-            Change::Held(fingerprint) => {
+            Change::Quarantined(fingerprint) => {
                 node.metrics.quarantine("held_back");
-                let evidence = ends(known.ends(fingerprint), now);
+                let evidence = ends(known.target_ends(fingerprint), now);
                 log::warn!(target: "quarantine", fingerprint:%, evidence; "request held back");
             }
-            Change::LetGo(fingerprint) => {
+            Change::Released(fingerprint) => {
                 node.metrics.quarantine("let_go");
                 let why = cause.map_or("too old".to_string(), |e| reason(e, now));
-                let evidence = ends(known.ends(fingerprint), now);
+                let evidence = ends(known.target_ends(fingerprint), now);
                 log::info!(target: "quarantine", fingerprint:%, why, evidence; "request let go");
             }
         }
@@ -47,10 +47,10 @@
 
 /// What a finding says, who made it, and how old it is.
 fn reason(evidence: &Evidence, now: u64) -> String {
-    let age = now.saturating_sub(evidence.at);
-    let what = match &evidence.finding {
-        Finding::RanWhole => "it ran whole",
-        Finding::Ended { .. } => "another request explains what ended",
+    let age = now.saturating_sub(evidence.at_ms);
+    let what = match &evidence.observation {
+        Observation::Completed => "it ran whole",
+        Observation::TargetEnded { .. } => "another request explains what ended",
     };
-    format!("{what}, {age} ms ago, told by {}", evidence.witness)
+    format!("{what}, {age} ms ago, told by {}", evidence.observer)
 }
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use comfreyhall_domain::{Map, Name, Set, Stage};
-use comfreyhall_quarantine::{Change, Evidence, Finding, Fingerprint, Quarantine, Status};
+use comfreyhall_quarantine::{Change, Evidence, Fingerprint, Observation, Quarantine, Status};
 use tokio::sync::Notify;
 
 pub(crate) use self::spread::spawn;
@@ -100,26 +100,26 @@
 
     /// Whether a target ended under `fingerprint`.
     pub(crate) fn suspects(&self, fingerprint: &Fingerprint) -> bool {
-        self.state().known.suspects(fingerprint)
+        self.state().known.is_suspect(fingerprint)
     }
 
     /// The targets that ended under `fingerprint`, for the log.
     pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
-        log::ends(self.state().known.ends(fingerprint), now)
+        log::ends(self.state().known.target_ends(fingerprint), now)
     }
 }
 
 /// Whether `fingerprint` may be sent by this daemon now.
 pub(crate) fn admit(node: &Arc<Node>, fingerprint: Fingerprint) -> Admission {
-    if !node.quarantine.state().known.holds(&fingerprint) {
+    if !node.quarantine.state().known.is_quarantined(&fingerprint) {
         return Admission::Free;
     }
     let now = node.now();
     let rank = node.fleet.rank(&fingerprint.to_string(), now);
     let mut state = node.quarantine.state();
     match state.known.status(&fingerprint, rank, now) {
-        Status::Free => Admission::Free,
-        Status::Held { retry_ms } => Admission::Held(retry_ms),
+        Status::Allowed => Admission::Free,
+        Status::Quarantined { retry_ms } => Admission::Held(retry_ms),
         Status::Trial if state.trials.insert(fingerprint) => {
             drop(state);
             let node = node.clone();
@@ -168,7 +168,7 @@
 /// A target ran `fingerprint` to its end.
 pub(crate) fn ran_whole(node: &Arc<Node>, fingerprint: Fingerprint) {
     if node.quarantine.suspects(&fingerprint) {
-        found(node, fingerprint, Finding::RanWhole, node.now());
+        found(node, fingerprint, Observation::Completed, node.now());
     }
 }
 
@@ -197,8 +197,8 @@
     node.quarantine.settled.notify_waiters();
 }
 
-fn ended(target: &Name, early: bool) -> Finding {
-    Finding::Ended {
+fn ended(target: &Name, early: bool) -> Observation {
+    Observation::TargetEnded {
         target: target.clone(),
         early,
     }
@@ -208,12 +208,12 @@
 ///
 /// What goes wrong if an end counts from when it was looked at: the request
 /// runs whole in between, and is a suspect again for what was before.
-fn found(node: &Arc<Node>, fingerprint: Fingerprint, finding: Finding, at: u64) {
+fn found(node: &Arc<Node>, fingerprint: Fingerprint, finding: Observation, at: u64) {
     let evidence = Evidence {
         fingerprint,
-        finding,
-        at,
-        witness: node.settings().id.as_ref().into(),
+        observation: finding,
+        at_ms: at,
+        observer: node.settings().id.as_ref().into(),
     };
     if learn(node, evidence) {
         node.quarantine.found.notify_one();
@@ -225,11 +225,11 @@
     let now = node.now();
     let mut state = node.quarantine.state();
     let before = state.known.serial();
-    let changes = state.known.learn(evidence.clone(), now);
+    let changes = state.known.record(evidence.clone(), now);
     let new = state.known.serial() > before;
     log::changes(node, &state.known, &changes, Some(&evidence), now);
     drop(state);
-    if let Finding::Ended { target, .. } = evidence.finding
+    if let Observation::TargetEnded { target, .. } = evidence.observation
         && new
     {
         // A boot that has ended takes nothing any more; without this every
@@ -243,6 +243,6 @@
 fn forget(node: &Node) {
     let now = node.now();
     let mut state = node.quarantine.state();
-    let changes: Vec<Change> = state.known.forget(now);
+    let changes: Vec<Change> = state.known.expire(now);
     log::changes(node, &state.known, &changes, None, now);
 }
--- a/crates/comfreyhall-node/src/quarantine/wire.rs
+++ b/crates/comfreyhall-node/src/quarantine/wire.rs
@@ -11,7 +11,7 @@
 /// number of the last one told.
 pub(crate) fn since(node: &Node, serial: u64) -> (Vec<proto::Evidence>, u64) {
     let now = node.now();
-    let (told, last) = node.quarantine.state().known.since(serial);
+    let (told, last) = node.quarantine.state().known.evidence_since(serial);
     (told.iter().map(|e| e.to_wire(now)).collect(), last)
 }
 
--- a/crates/comfreyhall-quarantine/src/case.rs
+++ b/crates/comfreyhall-quarantine/src/case.rs
@@ -21,43 +21,43 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// What was seen.
-    pub finding: Finding,
+    pub observation: Observation,
     /// When, in ms of the clock of the daemon that keeps it.
-    pub at: u64,
+    pub at_ms: u64,
     /// Id of the daemon that saw it.
-    pub witness: Name,
+    pub observer: Name,
 }
 
 /// What was seen of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Finding {
+pub enum Observation {
     /// This boot of a target ended while the request was there.
-    Ended {
+    TargetEnded {
         /// The boot that ended.
         target: Name,
         /// Whether the request had just begun to run there, as far as is known.
         early: bool,
     },
     /// A target ran it to its end, so it is not what ends targets.
-    RanWhole,
+    Completed,
 }
 
 /// One target that ended under a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
+pub struct TargetEnd {
     /// The boot that ended.
     pub target: Name,
     /// When, in ms.
-    pub at: u64,
+    pub at_ms: u64,
     /// Id of the daemon that saw it.
-    pub witness: Name,
+    pub observer: Name,
     /// Whether the request had just begun to run there.
     pub early: bool,
     /// Number of this finding here.
     pub(crate) serial: u64,
 }
 
-impl End {
+impl TargetEnd {
     /// How much it says against the request.
     pub(crate) fn weight(&self) -> u32 {
         match self.early {
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Case {
     /// Targets that ended under it, each once.
-    pub(crate) ends: Vec<End>,
+    pub(crate) ends: Vec<TargetEnd>,
     /// Kept after the ends are dropped: older evidence may still be on its
     /// way from a daemon that has not heard.
     pub(crate) cleared: Option<Cleared>,
@@ -88,19 +88,19 @@
 impl Case {
     /// When anything about it was last seen.
     pub(crate) fn last(&self) -> u64 {
-        let ends = self.ends.iter().map(|e| e.at);
+        let ends = self.ends.iter().map(|e| e.at_ms);
         let cleared = self.cleared.iter().map(|c| c.at);
         ends.chain(cleared).max().unwrap_or(0)
     }
 
     /// When the last target ended under it.
     pub(crate) fn last_end(&self) -> u64 {
-        self.ends.iter().map(|e| e.at).max().unwrap_or(0)
+        self.ends.iter().map(|e| e.at_ms).max().unwrap_or(0)
     }
 
     /// How much all ends say against it.
     pub(crate) fn weight(&self) -> u32 {
-        self.ends.iter().map(End::weight).sum()
+        self.ends.iter().map(TargetEnd::weight).sum()
     }
 
     /// Whether `target` ended under it.
@@ -109,8 +109,8 @@
     }
 
     /// Adds a target that ended under it; whether that is new.
-    pub(crate) fn end(&mut self, end: End) -> bool {
-        let cleared = self.cleared.as_ref().is_some_and(|c| c.at >= end.at);
+    pub(crate) fn end(&mut self, end: TargetEnd) -> bool {
+        let cleared = self.cleared.as_ref().is_some_and(|c| c.at >= end.at_ms);
         if cleared || self.has(&end.target) || self.ends.len() >= MOST_ENDS {
             return false;
         }
@@ -121,7 +121,7 @@
     /// Takes in that it ran whole; whether that is new.
     pub(crate) fn clear(&mut self, cleared: Cleared) -> bool {
         let before = self.ends.len();
-        self.ends.retain(|e| e.at > cleared.at);
+        self.ends.retain(|e| e.at_ms > cleared.at);
         let known = self.cleared.as_ref().map(|c| c.at + SAME_MS);
         let new = self.ends.len() < before || known.is_none_or(|k| k < cleared.at);
         if new {
--- a/crates/comfreyhall-quarantine/src/lib.rs
+++ b/crates/comfreyhall-quarantine/src/lib.rs
@@ -18,9 +18,9 @@
 mod weigh;
 mod wire;
 
-pub use case::{End, Evidence, Finding};
+pub use case::{Evidence, Observation, TargetEnd};
 pub use fingerprint::Fingerprint;
-pub use quarantine::{Change, Heard, Quarantine, Status};
+pub use quarantine::{Change, Quarantine, Status, SyncPosition};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-quarantine/src/quarantine.rs
+++ b/crates/comfreyhall-quarantine/src/quarantine.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Fingerprint,
-    case::{Case, Cleared, End, Evidence, Finding},
+    case::{Case, Cleared, Evidence, Observation, TargetEnd},
     weigh::{self, ENDS},
 };
 
@@ -40,11 +40,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// It may be sent like any other.
-    Free,
+    Allowed,
     /// It may be sent once, to see whether it is to blame; not by two at once.
     Trial,
     /// It is not sent.
-    Held {
+    Quarantined {
         /// When its caller may come back, in ms.
         retry_ms: u64,
     },
@@ -54,16 +54,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// A target ended under it that was not known of.
-    Suspect(Fingerprint),
+    Suspected(Fingerprint),
     /// It is held back from now on.
-    Held(Fingerprint),
+    Quarantined(Fingerprint),
     /// It is held back no longer.
-    LetGo(Fingerprint),
+    Released(Fingerprint),
 }
 
 /// How far a daemon has heard what another knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Heard {
+pub struct SyncPosition {
     /// Which process of the other; what another process of it told is gone.
     pub boot: u64,
     /// Number of the last finding heard.
@@ -86,19 +86,19 @@
     }
 
     /// Whether a target ended under `fingerprint`.
-    pub fn suspects(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
         self.cases
             .get(fingerprint)
             .is_some_and(|c| !c.ends.is_empty())
     }
 
     /// Whether `fingerprint` is held back, but for trials.
-    pub fn holds(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         self.held.contains(fingerprint)
     }
 
     /// The targets that ended under `fingerprint`.
-    pub fn ends(&self, fingerprint: &Fingerprint) -> &[End] {
+    pub fn target_ends(&self, fingerprint: &Fingerprint) -> &[TargetEnd] {
         self.cases.get(fingerprint).map_or(&[], |c| &c.ends)
     }
 
@@ -109,28 +109,28 @@
 
     /// Takes in what this daemon or another has seen. Nothing happens if it is
     /// known, too old, or older than the last time the request ran whole.
-    pub fn learn(&mut self, evidence: Evidence, now: u64) -> Vec<Change> {
-        if now.saturating_sub(evidence.at) >= FORGET_MS {
+    pub fn record(&mut self, evidence: Evidence, now: u64) -> Vec<Change> {
+        if now.saturating_sub(evidence.at_ms) >= FORGET_MS {
             return Vec::new();
         }
         let fingerprint = evidence.fingerprint;
         let serial = self.serial + 1;
         let case = self.cases.entry(fingerprint).or_default();
-        let (new, suspect) = match evidence.finding {
-            Finding::Ended { target, early } => {
-                let new = case.end(End {
+        let (new, suspect) = match evidence.observation {
+            Observation::TargetEnded { target, early } => {
+                let new = case.end(TargetEnd {
                     target,
                     early,
-                    at: evidence.at,
-                    witness: evidence.witness,
+                    at_ms: evidence.at_ms,
+                    observer: evidence.observer,
                     serial,
                 });
                 (new, new)
             }
-            Finding::RanWhole => {
+            Observation::Completed => {
                 let cleared = Cleared {
-                    at: evidence.at,
-                    witness: evidence.witness,
+                    at: evidence.at_ms,
+                    witness: evidence.observer,
                     serial,
                 };
                 (case.clear(cleared), false)
@@ -142,7 +142,7 @@
         self.serial = serial;
         let mut changes = Vec::new();
         if suspect {
-            changes.push(Change::Suspect(fingerprint));
+            changes.push(Change::Suspected(fingerprint));
         }
         self.bound();
         changes.extend(self.weigh());
@@ -150,7 +150,7 @@
     }
 
     /// Forgets what is too old.
-    pub fn forget(&mut self, now: u64) -> Vec<Change> {
+    pub fn expire(&mut self, now: u64) -> Vec<Change> {
         let before = self.cases.len();
         self.cases
             .retain(|_, c| now.saturating_sub(c.last()) < FORGET_MS);
@@ -166,9 +166,9 @@
         let Some(case) = self
             .cases
             .get(fingerprint)
-            .filter(|_| self.holds(fingerprint))
+            .filter(|_| self.is_quarantined(fingerprint))
         else {
-            return Status::Free;
+            return Status::Allowed;
         };
         let Some(due) = trial_at(case, rank) else {
             let forgotten = case.last_end() + FORGET_MS;
@@ -182,7 +182,7 @@
 
     /// What to tell a daemon that has heard all findings up to `serial`, with
     /// the number of the last one told.
-    pub fn since(&self, serial: u64) -> (Vec<Evidence>, u64) {
+    pub fn evidence_since(&self, serial: u64) -> (Vec<Evidence>, u64) {
         if serial >= self.serial {
             return (Vec::new(), self.serial);
         }
@@ -220,11 +220,11 @@
     /// Decides anew who is held back.
     fn weigh(&mut self) -> Vec<Change> {
         let held = weigh::held(&self.cases);
-        let begun = held.difference(&self.held).map(|p| Change::Held(*p));
-        let ended = self.held.difference(&held).map(|p| Change::LetGo(*p));
+        let begun = held.difference(&self.held).map(|p| Change::Quarantined(*p));
+        let ended = self.held.difference(&held).map(|p| Change::Released(*p));
         let mut changes: Vec<Change> = begun.chain(ended).collect();
         changes.sort_by_key(|c| match c {
-            Change::Suspect(p) | Change::Held(p) | Change::LetGo(p) => *p,
+            Change::Suspected(p) | Change::Quarantined(p) | Change::Released(p) => *p,
         });
         self.held = held;
         changes
@@ -232,7 +232,7 @@
 }
 
 fn held_for(ms: u64) -> Status {
-    Status::Held {
+    Status::Quarantined {
         retry_ms: ms.max(LEAST_RETRY_MS),
     }
 }
@@ -249,18 +249,19 @@
 fn findings(fingerprint: Fingerprint, case: &Case) -> impl Iterator<Item = (u64, Evidence)> + '_ {
     let evidence = move |finding, at, witness: &Name| Evidence {
         fingerprint,
-        finding,
-        at,
-        witness: witness.clone(),
+        observation: finding,
+        at_ms: at,
+        observer: witness.clone(),
     };
     let ends = case.ends.iter().map(move |e| {
-        let finding = Finding::Ended {
+        let finding = Observation::TargetEnded {
             target: e.target.clone(),
             early: e.early,
         };
-        (e.serial, evidence(finding, e.at, &e.witness))
+        (e.serial, evidence(finding, e.at_ms, &e.observer))
     });
     let cleared = case.cleared.iter();
-    let cleared = cleared.map(move |c| (c.serial, evidence(Finding::RanWhole, c.at, &c.witness)));
+    let cleared =
+        cleared.map(move |c| (c.serial, evidence(Observation::Completed, c.at, &c.witness)));
     cleared.chain(ends)
 }
--- a/crates/comfreyhall-quarantine/src/tests.rs
+++ b/crates/comfreyhall-quarantine/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::{Change, Evidence, Finding, Fingerprint, Quarantine, Status};
+use crate::{Change, Evidence, Fingerprint, Observation, Quarantine, Status};
 
 const SECOND: u64 = 1_000;
 const HOUR: u64 = 3_600 * SECOND;
@@ -6,18 +6,18 @@
 fn ended(fingerprint: Fingerprint, target: &str, at: u64) -> Evidence {
     Evidence {
         fingerprint,
-        finding: Finding::Ended {
+        observation: Observation::TargetEnded {
             target: target.into(),
             early: true,
         },
-        at,
-        witness: "n1".into(),
+        at_ms: at,
+        observer: "n1".into(),
     }
 }
 
 fn ran_whole(fingerprint: Fingerprint, at: u64) -> Evidence {
     Evidence {
-        finding: Finding::RanWhole,
+        observation: Observation::Completed,
         ..ended(fingerprint, "", at)
     }
 }
@@ -26,13 +26,16 @@
 fn knowing(ends: &[(Fingerprint, &str)]) -> Quarantine {
     let mut known = Quarantine::default();
     for (fingerprint, target) in ends {
-        known.learn(ended(*fingerprint, target, SECOND), SECOND);
+        known.record(ended(*fingerprint, target, SECOND), SECOND);
     }
     known
 }
 
 fn is_held(known: &Quarantine, fingerprint: Fingerprint) -> bool {
-    matches!(known.status(&fingerprint, 0, SECOND), Status::Held { .. })
+    matches!(
+        known.status(&fingerprint, 0, SECOND),
+        Status::Quarantined { .. }
+    )
 }
 
 fn of(parts: &[&str]) -> Fingerprint {
@@ -65,16 +68,19 @@
 fn learn_three_ends_hold() {
     let fingerprint = of(&["deadly"]);
     let mut known = Quarantine::default();
-    let suspect = [Change::Suspect(fingerprint)];
-    assert_eq!(known.learn(ended(fingerprint, "a", 1), 1), suspect);
-    assert_eq!(known.learn(ended(fingerprint, "b", 2), 2), suspect);
+    let suspect = [Change::Suspected(fingerprint)];
+    assert_eq!(known.record(ended(fingerprint, "a", 1), 1), suspect);
+    assert_eq!(known.record(ended(fingerprint, "b", 2), 2), suspect);
     // The same end, told again by another.
-    assert!(known.learn(ended(fingerprint, "b", 3), 3).is_empty());
-    assert_eq!(known.status(&fingerprint, 0, 3), Status::Free);
-    let changes = known.learn(ended(fingerprint, "c", 4), 4);
+    assert!(known.record(ended(fingerprint, "b", 3), 3).is_empty());
+    assert_eq!(known.status(&fingerprint, 0, 3), Status::Allowed);
+    let changes = known.record(ended(fingerprint, "c", 4), 4);
     assert_eq!(
         changes,
-        [Change::Suspect(fingerprint), Change::Held(fingerprint)]
+        [
+            Change::Suspected(fingerprint),
+            Change::Quarantined(fingerprint)
+        ]
     );
     assert!(is_held(&known, fingerprint));
 }
@@ -87,7 +93,7 @@
     let (deadly, beside) = (of(&["deadly"]), of(&["beside"]));
     let mut known = knowing(&[(deadly, "a"), (deadly, "b"), (deadly, "c"), (deadly, "d")]);
     for target in ["a", "b", "c"] {
-        known.learn(ended(beside, target, SECOND), SECOND);
+        known.record(ended(beside, target, SECOND), SECOND);
     }
     assert!(is_held(&known, deadly));
     assert!(!is_held(&known, beside));
@@ -99,8 +105,8 @@
     let (deadly, beside) = (of(&["deadly"]), of(&["beside"]));
     let mut known = knowing(&[(beside, "a"), (beside, "b"), (beside, "c")]);
     assert!(is_held(&known, beside));
-    let told = ["a", "b", "c", "d"].map(|t| known.learn(ended(deadly, t, SECOND), SECOND));
-    assert!(told.concat().contains(&Change::LetGo(beside)));
+    let told = ["a", "b", "c", "d"].map(|t| known.record(ended(deadly, t, SECOND), SECOND));
+    assert!(told.concat().contains(&Change::Released(beside)));
     assert!(is_held(&known, deadly));
 }
 
@@ -126,15 +132,15 @@
 fn learn_ran_whole_lets_go() {
     let fingerprint = of(&["beside"]);
     let mut known = knowing(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
-    let changes = known.learn(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
-    assert_eq!(changes, [Change::LetGo(fingerprint)]);
+    let changes = known.record(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
+    assert_eq!(changes, [Change::Released(fingerprint)]);
     // Older evidence that comes late changes nothing.
     assert!(
         known
-            .learn(ended(fingerprint, "d", SECOND), 2 * SECOND)
+            .record(ended(fingerprint, "d", SECOND), 2 * SECOND)
             .is_empty()
     );
-    assert!(!known.suspects(&fingerprint));
+    assert!(!known.is_suspect(&fingerprint));
 }
 
 /// Two daemons whose clocks round differently stop telling each other.
@@ -142,9 +148,9 @@
 fn learn_ran_whole_once() {
     let fingerprint = of(&["beside"]);
     let mut known = knowing(&[(fingerprint, "a")]);
-    known.learn(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
+    known.record(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
     let serial = known.serial();
-    known.learn(ran_whole(fingerprint, 2 * SECOND + 7), 2 * SECOND + 7);
+    known.record(ran_whole(fingerprint, 2 * SECOND + 7), 2 * SECOND + 7);
     assert_eq!(known.serial(), serial);
 }
 
@@ -156,12 +162,12 @@
     // The next daemon waits for the first.
     assert_ne!(known.status(&fingerprint, 1, 31 * SECOND), Status::Trial);
     assert_eq!(known.status(&fingerprint, 1, 36 * SECOND), Status::Trial);
-    known.learn(ended(fingerprint, "d", 31 * SECOND), 31 * SECOND);
+    known.record(ended(fingerprint, "d", 31 * SECOND), 31 * SECOND);
     // No trial any more until it is forgotten.
     assert_ne!(known.status(&fingerprint, 0, 62 * SECOND), Status::Trial);
     assert_ne!(known.status(&fingerprint, 0, 3_000 * SECOND), Status::Trial);
-    let changes = known.forget(31 * SECOND + HOUR);
-    assert_eq!(changes, [Change::LetGo(fingerprint)]);
+    let changes = known.expire(31 * SECOND + HOUR);
+    assert_eq!(changes, [Change::Released(fingerprint)]);
     assert!(known.is_empty());
 }
 
@@ -172,7 +178,7 @@
     let held = known.status(&fingerprint, 0, 2 * SECOND);
     assert_eq!(
         held,
-        Status::Held {
+        Status::Quarantined {
             retry_ms: 29 * SECOND
         }
     );
@@ -182,11 +188,11 @@
 fn since_tells_each_finding_once() {
     let fingerprint = of(&["deadly"]);
     let mut known = knowing(&[(fingerprint, "a"), (fingerprint, "b")]);
-    let (told, last) = known.since(0);
+    let (told, last) = known.evidence_since(0);
     assert_eq!(told.len(), 2);
-    assert!(known.since(last).0.is_empty());
-    known.learn(ended(fingerprint, "c", SECOND), SECOND);
-    let (told, _) = known.since(last);
+    assert!(known.evidence_since(last).0.is_empty());
+    known.record(ended(fingerprint, "c", SECOND), SECOND);
+    let (told, _) = known.evidence_since(last);
     assert_eq!(told, [ended(fingerprint, "c", SECOND)]);
 }
 
@@ -201,11 +207,11 @@
     for i in 0..6_000_u64 {
         let fingerprint = of(&["body", &i.to_string()]);
         let at = 10 * SECOND + i;
-        known.learn(ended(fingerprint, &format!("t{}", i / 64), at), at);
+        known.record(ended(fingerprint, &format!("t{}", i / 64), at), at);
     }
     let (mut told, mut serial) = (0, 0);
     loop {
-        let (some, last) = known.since(serial);
+        let (some, last) = known.evidence_since(serial);
         told += some.len();
         if some.is_empty() {
             break;
@@ -213,6 +219,6 @@
         serial = last;
     }
     assert!(told <= 4_096, "{told} findings are kept");
-    assert!(!known.suspects(&first));
+    assert!(!known.is_suspect(&first));
     assert!(is_held(&known, deadly));
 }
--- a/crates/comfreyhall-quarantine/src/weigh.rs
+++ b/crates/comfreyhall-quarantine/src/weigh.rs
@@ -69,7 +69,7 @@
 /// When each target ended.
 fn ended(cases: &Map<Fingerprint, Case>) -> Map<&Name, u64> {
     let all = cases.values().flat_map(|c| &c.ends);
-    all.map(|e| (&e.target, e.at)).collect()
+    all.map(|e| (&e.target, e.at_ms)).collect()
 }
 
 /// Weight of the ends of `case` that no stronger one of `held` explains.
@@ -82,7 +82,7 @@
 
 /// Whether other targets ended in the time of `case`, and nothing explains them.
 fn among_many(case: &Case, held: &[(&Fingerprint, &Case)], ended: &Map<&Name, u64>) -> bool {
-    let times = || case.ends.iter().map(|e| e.at);
+    let times = || case.ends.iter().map(|e| e.at_ms);
     let first = times().min().unwrap_or(0).saturating_sub(MARGIN_MS);
     let last = times().max().unwrap_or(0) + MARGIN_MS;
     let others = ended.iter().filter(|(target, at)| {
--- a/crates/comfreyhall-quarantine/tests/model.rs
+++ b/crates/comfreyhall-quarantine/tests/model.rs
@@ -9,7 +9,9 @@
 
 use std::collections::BTreeSet;
 
-use comfreyhall_quarantine::{Evidence, Finding, Fingerprint, Heard, Quarantine, Status};
+use comfreyhall_quarantine::{
+    Evidence, Fingerprint, Observation, Quarantine, Status, SyncPosition,
+};
 use proptest::prelude::*;
 
 const DAEMONS: usize = 4;
@@ -65,7 +67,7 @@
     /// Which process it is.
     boot: u64,
     /// How far it has heard each other.
-    heard: [Heard; DAEMONS],
+    heard: [SyncPosition; DAEMONS],
     cut: bool,
     /// Whether it was cut off or started and has not yet heard of anybody who
     /// was neither: nobody could tell it what the others know.
@@ -117,15 +119,15 @@
         !d.cut && !d.behind && self.round >= d.since + WINDOW
     }
 
-    fn learn(&mut self, daemon: usize, fingerprint: Fingerprint, finding: Finding) {
+    fn learn(&mut self, daemon: usize, fingerprint: Fingerprint, finding: Observation) {
         let now = self.now();
         let evidence = Evidence {
             fingerprint,
-            finding,
-            at: now,
-            witness: format!("n{daemon}").as_str().into(),
+            observation: finding,
+            at_ms: now,
+            observer: format!("n{daemon}").as_str().into(),
         };
-        self.daemons[daemon].known.learn(evidence, now);
+        self.daemons[daemon].known.record(evidence, now);
     }
 
     /// A target ends under these requests; each was sent by some daemon.
@@ -133,7 +135,7 @@
         self.targets += 1;
         let target = format!("t{}", self.targets);
         for (i, fingerprint) in fingerprints.iter().enumerate() {
-            let finding = Finding::Ended {
+            let finding = Observation::TargetEnded {
                 target: target.as_str().into(),
                 early: true,
             };
@@ -145,7 +147,7 @@
         let status = self.daemons[daemon]
             .known
             .status(&fingerprint, daemon, self.now());
-        !matches!(status, Status::Held { .. })
+        !matches!(status, Status::Quarantined { .. })
     }
 
     /// Those of `chosen` that their daemon does not hold back.
@@ -171,8 +173,8 @@
             }
             Step::Whole(daemon, bystander) => {
                 let fingerprint = fingerprint_of(1 + u64::from(bystander) % BYSTANDERS);
-                if self.daemons[daemon].known.suspects(&fingerprint) {
-                    self.learn(daemon, fingerprint, Finding::RanWhole);
+                if self.daemons[daemon].known.is_suspect(&fingerprint) {
+                    self.learn(daemon, fingerprint, Observation::Completed);
                 }
             }
             Step::Cut(daemon) => {
@@ -218,7 +220,7 @@
     /// on.
     fn note_known(&mut self) {
         let in_touch = (0..DAEMONS).filter(|d| self.in_touch(*d));
-        let ends = in_touch.flat_map(|d| self.daemons[d].known.ends(&fingerprint_of(0)));
+        let ends = in_touch.flat_map(|d| self.daemons[d].known.target_ends(&fingerprint_of(0)));
         let ends: BTreeSet<&str> = ends.map(|e| &*e.target).collect();
         if ends.len() >= 3 {
             self.known.get_or_insert(self.round);
@@ -233,11 +235,11 @@
             true => heard.serial,
             false => 0,
         };
-        let (told, serial) = self.daemons[from].known.since(after);
+        let (told, serial) = self.daemons[from].known.evidence_since(after);
         for evidence in told {
-            self.daemons[to].known.learn(evidence, now);
+            self.daemons[to].known.record(evidence, now);
         }
-        self.daemons[to].heard[from] = Heard { boot, serial };
+        self.daemons[to].heard[from] = SyncPosition { boot, serial };
         if self.daemons[to].behind && !self.daemons[from].behind {
             self.daemons[to].behind = false;
             self.daemons[to].since = self.round;
--- a/crates/comfreyhall-quarantine/tests/series.rs
+++ b/crates/comfreyhall-quarantine/tests/series.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use comfreyhall_quarantine::{Evidence, Finding, Fingerprint, Quarantine, Status};
+use comfreyhall_quarantine::{Evidence, Fingerprint, Observation, Quarantine, Status};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 
 const ENGINES: usize = 9;
@@ -123,7 +123,7 @@
     /// Sends a request to an engine that is there, unless it is held back.
     fn send(&mut self, mut run: Run) {
         let status = self.known.status(&run.fingerprint, 0, self.now);
-        if matches!(status, Status::Held { .. }) {
+        if matches!(status, Status::Quarantined { .. }) {
             if !run.deadly {
                 self.held.entry(run.fingerprint).or_insert(self.now);
                 self.later(run, HELD_AGAIN_MS);
@@ -159,7 +159,7 @@
         for run in lost {
             let early = self.now < run.answers + EARLY_MS;
             let target = boot.as_str().into();
-            self.learn(run.fingerprint, Finding::Ended { target, early });
+            self.learn(run.fingerprint, Observation::TargetEnded { target, early });
             if !run.deadly {
                 self.hit.insert(run.fingerprint);
             }
@@ -169,14 +169,14 @@
         }
     }
 
-    fn learn(&mut self, fingerprint: Fingerprint, finding: Finding) {
+    fn learn(&mut self, fingerprint: Fingerprint, finding: Observation) {
         let evidence = Evidence {
             fingerprint,
-            finding,
-            at: self.now,
-            witness: "n".into(),
+            observation: finding,
+            at_ms: self.now,
+            observer: "n".into(),
         };
-        self.known.learn(evidence, self.now);
+        self.known.record(evidence, self.now);
     }
 
     /// Ends the runs whose time has come.
@@ -189,8 +189,8 @@
                 continue;
             }
             self.runs.swap_remove(at);
-            if self.known.suspects(&run.fingerprint) {
-                self.learn(run.fingerprint, Finding::RanWhole);
+            if self.known.is_suspect(&run.fingerprint) {
+                self.learn(run.fingerprint, Observation::Completed);
             }
         }
     }
