--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -23,7 +23,7 @@
     time::{Duration, Instant},
 };
 
-use comfreyhall_lease::Standing;
+use comfreyhall_lease::LeaseStatus;
 use comfreyhall_placement::{Decision, EngineView, SlotView};
 use comfreyhall_protocol::{DemandReport, LoadOrder, PlaceReply, PlaceRequest};
 use prost::Message;
@@ -129,7 +129,7 @@
             if demands.is_empty() {
                 continue;
             }
-            if let Standing::Theirs(holder) = app.inner.lease.standing(Instant::now())
+            if let LeaseStatus::HeldByOther(holder) = app.inner.lease.status(Instant::now())
                 && let Some(peer) = app.inner.peers.get(&holder)
             {
                 let report = DemandReport { demands };
@@ -176,17 +176,17 @@
     // the next holder, at most two terms, rather than refuse.
     let until = Instant::now() + limit.min(2 * lease_term(app));
     loop {
-        match app.inner.lease.standing(Instant::now()) {
-            Standing::Mine(token) => return order(app, &wanted, decision, token).await,
-            Standing::Theirs(holder) => {
+        match app.inner.lease.status(Instant::now()) {
+            LeaseStatus::Held(token) => return order(app, &wanted, decision, token).await,
+            LeaseStatus::HeldByOther(holder) => {
                 if let Some(placed) = ask(app, &holder, &wanted).await {
                     return placed;
                 }
             }
-            Standing::Vacant => {}
+            LeaseStatus::Free => {}
         }
         if app.inner.follower.quiet() >= lease_term(app) {
-            let token = app.inner.lease.last_token();
+            let token = app.inner.lease.highest_token();
             return order(app, &wanted, decision, token).await;
         }
         if Instant::now() >= until {
--- a/crates/comfreyhall-lease/src/lib.rs
+++ b/crates/comfreyhall-lease/src/lib.rs
@@ -53,13 +53,13 @@
 
 /// Who holds a lease, as this process last saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseStatus {
     /// This process, with this fencing token.
-    Mine(u64),
+    Held(u64),
     /// Another process.
-    Theirs(Arc<str>),
+    HeldByOther(Arc<str>),
     /// Nobody.
-    Vacant,
+    Free,
 }
 
 /// Which lease to take.
@@ -118,7 +118,7 @@
 ///
 /// Asked one by one, the starts of 195 instances cost the table 975 calls for
 /// five leases.
-pub async fn held_by<R: Rows>(table: &R, owner: &str) -> Result<Vec<String>, CatalogError> {
+pub async fn leases_held_by<R: Rows>(table: &R, owner: &str) -> Result<Vec<String>, CatalogError> {
     let rows = table.scan(PREFIX, "", 0).await?;
     let held = rows.iter().filter(|r| *decode(&r.key, r).owner == *owner);
     let names = held.filter_map(|r| r.key.strip_prefix(PREFIX));
@@ -165,20 +165,20 @@
     }
 
     /// The highest token this process has seen; 0 before any.
-    pub fn last_token(&self) -> u64 {
+    pub fn highest_token(&self) -> u64 {
         self.state().row.as_ref().map_or(0, |r| r.0.token)
     }
 
     /// Who holds the lease at `now`.
-    pub fn standing(&self, now: Instant) -> Standing {
+    pub fn status(&self, now: Instant) -> LeaseStatus {
         if let Some(token) = self.token(now) {
-            return Standing::Mine(token);
+            return LeaseStatus::Held(token);
         }
         match &self.state().row {
             Some((r, _)) if !r.owner.is_empty() && !self.ours(r) => {
-                Standing::Theirs(r.owner.clone())
+                LeaseStatus::HeldByOther(r.owner.clone())
             }
-            _ => Standing::Vacant,
+            _ => LeaseStatus::Free,
         }
     }
 
--- a/crates/comfreyhall-lease/tests/release.rs
+++ b/crates/comfreyhall-lease/tests/release.rs
@@ -7,7 +7,7 @@
 
 use comfreyhall_catalog::{Rows, put};
 use comfreyhall_fakes::{FakeTable, Fate};
-use comfreyhall_lease::{Lease, held_by};
+use comfreyhall_lease::{Lease, leases_held_by};
 
 const TERM: Duration = Duration::from_millis(1_000);
 
@@ -92,6 +92,6 @@
         let lease = Lease::new(table.clone(), name, Arc::from(owner), TERM);
         lease.step(Instant::now, true).await.unwrap();
     }
-    assert_eq!(held_by(&table, "old").await.unwrap(), ["a", "c"]);
-    assert!(held_by(&table, "new").await.unwrap().is_empty());
+    assert_eq!(leases_held_by(&table, "old").await.unwrap(), ["a", "c"]);
+    assert!(leases_held_by(&table, "new").await.unwrap().is_empty());
 }
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -228,7 +228,9 @@
     }
     let limit = Duration::from_millis(settings.bounds.lease_ms) / STEP_PART;
     let why =
-        match tokio::time::timeout(limit, comfreyhall_lease::held_by(rows, &settings.id)).await {
+        match tokio::time::timeout(limit, comfreyhall_lease::leases_held_by(rows, &settings.id))
+            .await
+        {
             Ok(Ok(names)) => return names.into_iter().collect(),
             Ok(Err(e)) => e.to_string(),
             Err(_) => "no answer in time".to_string(),
