--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -5,8 +5,8 @@
 use comfreyhall_domain::{AdapterRef, Ask, Engine, Kind, Map, Name, Part, Route, Target, Tokens};
 use comfreyhall_placement::SlotTimePrice;
 use comfreyhall_routing::{
-    pick,
-    pick::{Candidate, Spread},
+    selection,
+    selection::{Candidate, Spread},
 };
 
 use crate::{
@@ -186,7 +186,7 @@
         true => Spread::Stale(STALE_MS),
         false => Spread::Equal,
     };
-    let best = pick::select(&choices, again_ms, spread, wish.draw)?;
+    let best = selection::select(&choices, again_ms, spread, wish.draw)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let loads = best.load_ms > 0.0;
     let picks = match loads && wish.group.is_some() {
@@ -285,7 +285,7 @@
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
     let reader = match policies.shared_prompts {
-        true => pick::prefix_engine(&key, &wish.need.parts, holders),
+        true => selection::prefix_engine(&key, &wish.need.parts, holders),
         false => None,
     };
     let mut loaders: Vec<(bool, u64, Candidate)> = Vec::new();
@@ -342,7 +342,7 @@
         let rank = if recent {
             0
         } else {
-            pick::rendezvous_rank(&key, &t.id)
+            selection::rendezvous_rank(&key, &t.id)
         };
         loaders.push((full && !recent, rank, choice));
     }
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -2,7 +2,7 @@
 
 use comfreyhall_domain::Name;
 use comfreyhall_protocol::{Cession, Daemon};
-use comfreyhall_routing::pick::rendezvous_rank;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::{Fleet, hub};
 
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -7,7 +7,7 @@
 //! is out of hearing: it may serve requests where it is.
 
 use comfreyhall_domain::Name;
-use comfreyhall_routing::pick::rendezvous_rank;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::{Fleet, holding::MUCH_CPU, hub};
 
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -36,7 +36,7 @@
 use comfreyhall_domain::{AdapterRef, Map, Name, Set};
 use comfreyhall_protocol::{Cession, Daemon, Placed, fleet_client::FleetClient, link};
 use comfreyhall_quarantine::SyncPosition;
-use comfreyhall_routing::pick;
+use comfreyhall_routing::selection;
 use comfreyhall_settings::NodeSettings;
 use rand::{Rng, seq::IteratorRandom};
 use tokio::sync::{Notify, mpsc};
@@ -266,9 +266,9 @@
     /// How many daemons alive come before this one for `key`: each key has an
     /// order of its own, the same at all daemons that know of each other.
     pub(crate) fn rank(&self, key: &str, now: u64) -> usize {
-        let own = pick::rendezvous_rank(key, &self.me.peer);
+        let own = selection::rendezvous_rank(key, &self.me.peer);
         let state = self.state();
-        let before = |addr: &Name| pick::rendezvous_rank(key, addr) < own;
+        let before = |addr: &Name| selection::rendezvous_rank(key, addr) < own;
         state.alive(now).filter(|(addr, _)| before(addr)).count()
     }
 
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -9,7 +9,7 @@
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Stage, Target};
 use comfreyhall_placement::engines_needed;
-use comfreyhall_routing::pick::rendezvous_rank;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::Job;
 use crate::{
--- a/crates/comfreyhall-routing/src/lib.rs
+++ b/crates/comfreyhall-routing/src/lib.rs
@@ -4,16 +4,16 @@
 //! steady clock, and touches no network: [`TargetStats`] estimates how long a
 //! request would wait at each target, [`Residency`] knows which target holds
 //! which adapter, [`PrefixIndex`] which prompt parts a target has read,
-//! [`pick`] compares targets, [`RetryBudget`] bounds repeats over the fleet, and
+//! [`selection`] compares targets, [`RetryBudget`] bounds repeats over the fleet, and
 //! [`admission`] says when to refuse and when to come back.
 
 pub mod admission;
 mod board;
 mod budget;
 mod health;
-pub mod pick;
 mod prefix;
 mod residency;
+pub mod selection;
 mod speed;
 
 pub use board::{TargetStats, Work};
--- a/crates/comfreyhall-routing/src/tests.rs
+++ b/crates/comfreyhall-routing/src/tests.rs
@@ -1,7 +1,7 @@
 use comfreyhall_domain::{AdapterRef, Map, Name, Part};
 
 use crate::{
-    pick::{Candidate, Spread},
+    selection::{Candidate, Spread},
     *,
 };
 
@@ -55,7 +55,7 @@
         ..choice("other", 100.0, 250.0)
     };
     let both = [kept, stored];
-    let best = pick::select(&both, 500.0, Spread::Equal, 0).unwrap();
+    let best = selection::select(&both, 500.0, Spread::Equal, 0).unwrap();
     assert_eq!(&*best.id, "kept");
 }
 
@@ -75,15 +75,15 @@
     };
     let by_draw = reads(&|i| holders[(i / 34 % 2) as usize].clone());
     let agreed = reads(&|i| {
-        let reader = pick::prefix_engine("m/a1", &parts(i), holders.iter());
+        let reader = selection::prefix_engine("m/a1", &parts(i), holders.iter());
         reader.unwrap().clone()
     });
     assert_eq!((by_draw, agreed), (68, 34));
     // Both take part.
-    let first = |i| pick::prefix_engine("m/a1", &parts(i), holders.iter());
+    let first = |i| selection::prefix_engine("m/a1", &parts(i), holders.iter());
     assert!((0..34).any(|i| first(i) != first(0)));
     assert_eq!(
-        pick::prefix_engine("m/a1", &parts(0)[..1], holders.iter()),
+        selection::prefix_engine("m/a1", &parts(0)[..1], holders.iter()),
         None
     );
 }
@@ -92,12 +92,16 @@
 fn best_copy_beats_long_queue() {
     let choices = [choice("hot", 600.0, 0.0), choice("idle", 100.0, 250.0)];
     assert_eq!(
-        &*pick::select(&choices, 500.0, Spread::Equal, 0).unwrap().id,
+        &*selection::select(&choices, 500.0, Spread::Equal, 0)
+            .unwrap()
+            .id,
         "idle"
     );
     let choices = [choice("hot", 300.0, 0.0), choice("idle", 100.0, 250.0)];
     assert_eq!(
-        &*pick::select(&choices, 500.0, Spread::Equal, 0).unwrap().id,
+        &*selection::select(&choices, 500.0, Spread::Equal, 0)
+            .unwrap()
+            .id,
         "hot"
     );
 }
@@ -106,7 +110,7 @@
 fn best_equal_spread_by_draw() {
     let choices = [choice("a", 100.0, 0.0), choice("b", 104.0, 0.0)];
     let at = |draw| {
-        pick::select(&choices, 500.0, Spread::Equal, draw)
+        selection::select(&choices, 500.0, Spread::Equal, draw)
             .unwrap()
             .id
             .clone()
@@ -142,7 +146,7 @@
             .map(|(i, wait)| choice(&i.to_string(), *wait, 0.0))
             .collect();
         let mixed = draw.rotate_left(17).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let to = pick::select(&choices, 500.0, spread, mixed).unwrap();
+        let to = selection::select(&choices, 500.0, spread, mixed).unwrap();
         let to: usize = to.id.parse().unwrap();
         waited += queues[to];
         count += 1.0;
@@ -169,7 +173,7 @@
 fn best_stale_prefers_no_load() {
     let choices = [choice("held", 300.0, 0.0), choice("idle", 60.0, 250.0)];
     for draw in [0, u64::MAX / 2, u64::MAX] {
-        let best = pick::select(&choices, 500.0, Spread::Stale(150.0), draw).unwrap();
+        let best = selection::select(&choices, 500.0, Spread::Stale(150.0), draw).unwrap();
         assert_eq!(&*best.id, "held");
     }
 }
@@ -181,11 +185,15 @@
     let other = choice("b", 900.0, 0.0);
     let both = [tried.clone(), other];
     assert_eq!(
-        &*pick::select(&both, 500.0, Spread::Equal, 0).unwrap().id,
+        &*selection::select(&both, 500.0, Spread::Equal, 0)
+            .unwrap()
+            .id,
         "b"
     );
     assert_eq!(
-        &*pick::select(&[tried], 500.0, Spread::Equal, 0).unwrap().id,
+        &*selection::select(&[tried], 500.0, Spread::Equal, 0)
+            .unwrap()
+            .id,
         "a"
     );
 }
--- a/crates/comfreyhall-routing/tests/stale_news.rs
+++ b/crates/comfreyhall-routing/tests/stale_news.rs
@@ -10,7 +10,7 @@
 use comfreyhall_domain::{Map, Name};
 use comfreyhall_routing::{
     TargetStats, Work,
-    pick::{Candidate, Spread, select},
+    selection::{Candidate, Spread, select},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
