--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -35,8 +35,8 @@
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Set};
 use comfreyhall_protocol::{Cession, Daemon, Placed, fleet_client::FleetClient, link};
-use comfreyhall_quarantine::Heard;
-use comfreyhall_routing::pick;
+use comfreyhall_quarantine::SyncPosition;
+use comfreyhall_routing::selection;
 use comfreyhall_settings::NodeSettings;
 use rand::{Rng, seq::IteratorRandom};
 use tokio::sync::{Notify, mpsc};
@@ -102,7 +102,7 @@
     /// Number of the last finding it has heard from this daemon.
     findings: u64,
     /// Its findings that this daemon has heard.
-    heard_of: Heard,
+    heard_of: SyncPosition,
     /// Its clock in its last news.
     clock: u64,
 }
@@ -236,7 +236,7 @@
             demands: Map::default(),
             told,
             findings: 0,
-            heard_of: Heard::default(),
+            heard_of: SyncPosition::default(),
             clock: 0,
         });
     }
@@ -266,9 +266,9 @@
     /// How many daemons alive come before this one for `key`: each key has an
     /// order of its own, the same at all daemons that know of each other.
     pub(crate) fn rank(&self, key: &str, now: u64) -> usize {
-        let own = pick::home_rank(key, &self.me.peer);
+        let own = selection::rendezvous_rank(key, &self.me.peer);
         let state = self.state();
-        let before = |addr: &Name| pick::home_rank(key, addr) < own;
+        let before = |addr: &Name| selection::rendezvous_rank(key, addr) < own;
         state.alive(now).filter(|(addr, _)| before(addr)).count()
     }
 
@@ -327,7 +327,7 @@
         let (target, work) = (run.target.clone(), run.work());
         known.runs.begin(id, run);
         drop(state);
-        node.view().board.peer_more(&name, &target, work, until);
+        node.view().board.add_peer_work(&name, &target, work, until);
     }
 
     /// How long a daemon may be silent, in ms.
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -1,8 +1,8 @@
 //! Adapters into places: which job next, which adapter goes, when it is there.
 
 use comfreyhall_domain::AdapterRef;
-use comfreyhall_placement::{Occupant, victim};
-use comfreyhall_routing::Standing;
+use comfreyhall_placement::{EvictionCandidate, select_victim};
+use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
 use crate::{
@@ -83,9 +83,10 @@
             since: now,
         };
         self.held.insert(adapter.clone(), hold);
-        let standing = Standing::Held(version);
+        let standing = Presence::Held(version);
         let mut view = self.node.view();
-        view.residency.note(adapter, &self.target.id, standing, now);
+        view.residency
+            .record(adapter, &self.target.id, standing, now);
         drop(view);
         self.node
             .fleet
@@ -179,7 +180,7 @@
             return Some("report");
         }
         let now = self.node.now();
-        if now.saturating_sub(job.waiting.since) < job.extra_ms {
+        if now.saturating_sub(job.waiting.arrived_ms) < job.extra_ms {
             return Some("turn");
         }
         // Another engine loads it for somebody else, and serves this one too
@@ -194,7 +195,8 @@
         }
         let recent = {
             let view = self.node.view();
-            view.residency.recent(&job.adapter, &self.target.id, now)
+            view.residency
+                .likely_cached(&job.adapter, &self.target.id, now)
         };
         // What the engine has at hand does not come from the weight store.
         let window = self.node.policies().load_window;
@@ -217,7 +219,9 @@
                 .named_versions
                 .get(&job.adapter)
                 .map_or(0, |n| n.version);
-            let recent = view.residency.recent(&job.adapter, &self.target.id, now);
+            let recent = view
+                .residency
+                .likely_cached(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
         let done = job.claim();
@@ -236,7 +240,7 @@
                     ordered: now,
                     look: now + ((expected * FIRST_LOOK) as u64).max(LOOK_MS),
                     recent,
-                    queued: now.saturating_sub(job.waiting.since),
+                    queued: now.saturating_sub(job.waiting.arrived_ms),
                     blocked: job.blocked,
                     done: done.into_iter().collect(),
                 };
@@ -295,15 +299,15 @@
         let pinned = self.node.fleet.in_use_at(&self.target.id, now);
         let view = self.node.view();
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
-        let occupants: Vec<Occupant<AdapterRef>> = unused
-            .map(|(adapter, hold)| Occupant {
+        let occupants: Vec<EvictionCandidate<AdapterRef>> = unused
+            .map(|(adapter, hold)| EvictionCandidate {
                 score: view.demand.score(&adapter_key(adapter), now),
-                copies: view.residency.copies(adapter).saturating_sub(1),
+                other_copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since),
                 key: adapter.clone(),
             })
             .collect();
-        victim(&occupants).map(|o| o.key.clone())
+        select_victim(&occupants).map(|o| o.key.clone())
     }
 }
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_placement::Waiting;
+use comfreyhall_placement::QueuedRequest;
 use tokio::sync::oneshot;
 
 use super::{Job, Placed, PlacementError, Ticket, ticket::Gone};
@@ -51,10 +51,10 @@
         let job = Job {
             adapter: wish.adapter.clone(),
             version: wish.version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: wish.priority,
-                since: now,
-                aim: now + wish.objective_ms,
+                arrived_ms: now,
+                start_by_ms: now + wish.objective_ms,
             },
             ticket: Some(ticket.clone()),
             extra_ms: pick.extra_ms,
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -10,8 +10,8 @@
 
 use comfreyhall_domain::{AdapterRef, Config, Map, Name, Ranks, Target};
 use comfreyhall_life::{Life, Stage};
-use comfreyhall_placement::{Demand, Hold, engines_for};
-use comfreyhall_routing::{Board, Budget, Prefixes, Residency};
+use comfreyhall_placement::{Demand, HoldTime, engines_needed};
+use comfreyhall_routing::{PrefixIndex, Residency, RetryBudget, TargetStats};
 use comfreyhall_settings::{NodeSettings, Policies};
 use tokio::sync::Notify;
 
@@ -73,10 +73,10 @@
     /// Targets known to be gone or restarted before the store says so, and
     /// since when.
     pub(crate) unavailable_until: Map<Name, u64>,
-    pub(crate) board: Board,
+    pub(crate) board: TargetStats,
     pub(crate) residency: Residency,
-    pub(crate) prefixes: Prefixes,
-    pub(crate) budgets: Map<Name, Budget>,
+    pub(crate) prefixes: PrefixIndex,
+    pub(crate) budgets: Map<Name, RetryBudget>,
     pub(crate) demand: Demand,
     /// The same over about a second.
     pub(crate) fast_demand: Demand,
@@ -87,7 +87,7 @@
     /// Mean prompt tokens of a request.
     pub(crate) mean_prompt: f64,
     /// How long runs hold their places.
-    pub(crate) hold: Hold,
+    pub(crate) hold: HoldTime,
     pub(crate) records: FactStore,
 }
 
@@ -101,16 +101,16 @@
             targets: Map::default(),
             entry_errors: Map::default(),
             unavailable_until: Map::default(),
-            board: Board::default(),
+            board: TargetStats::default(),
             residency: Residency::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             budgets: Map::default(),
             demand: Demand::new(DEMAND_HALF_LIFE_MS),
             fast_demand: Demand::new(RUSH_HALF_LIFE_MS),
             bind_demand: Demand::new(RUSH_HALF_LIFE_MS),
             hot_until: Map::default(),
             mean_prompt: FIRST_PROMPT,
-            hold: Hold::default(),
+            hold: HoldTime::default(),
             records: FactStore::default(),
         }
     }
@@ -119,16 +119,16 @@
 impl View {
     /// Counts `requests` for the adapter `key`.
     pub(crate) fn count_demand(&mut self, key: &str, requests: u32, now: u64) {
-        self.demand.bump(key, requests, now);
-        self.fast_demand.bump(key, requests, now);
+        self.demand.record(key, requests, now);
+        self.fast_demand.record(key, requests, now);
     }
 
     /// Counts a request for an engine; whether its adapter, `key`, is asked
     /// for so often that it needs an engine in each of `groups`.
     pub(crate) fn count_bind(&mut self, key: &str, groups: usize, now: u64) -> bool {
-        self.bind_demand.bump(key, 1, now);
-        let cost_ms = self.board.reading_ms(self.mean_prompt);
-        let needed = engines_for(self.bind_demand.rate(key, now), cost_ms);
+        self.bind_demand.record(key, 1, now);
+        let cost_ms = self.board.read_duration_ms(self.mean_prompt);
+        let needed = engines_needed(self.bind_demand.rate(key, now), cost_ms);
         groups > 1 && needed as usize >= groups
     }
 
--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -26,20 +26,20 @@
 pub(crate) fn unavailable(node: &Node, target: &Name) -> Option<Unavailable> {
     let now = node.now();
     let gates = node.outbound.gates();
-    if gates.leaves(target, now) {
+    if gates.is_draining(target, now) {
         return Some(Unavailable {
             why: "it leaves",
             retry_ms: LEAVING_MS,
         });
     }
-    let retry_ms = gates.rest_ms(target, now);
+    let retry_ms = gates.cooldown_ms(target, now);
     let why = "it asked for rest";
     (retry_ms > 0).then_some(Unavailable { why, retry_ms })
 }
 
 /// Whether `target` has said that it leaves.
 pub(crate) fn is_draining(node: &Node, target: &Name) -> bool {
-    node.outbound.gates().leaves(target, node.now())
+    node.outbound.gates().is_draining(target, node.now())
 }
 
 /// What the first few of `targets` said, for the log: a fleet of hundreds must
@@ -48,10 +48,10 @@
     let gates = node.outbound.gates();
     let said = targets.iter().take(NAMED).map(|t| {
         let id = &t.id;
-        if gates.leaves(id, now) {
+        if gates.is_draining(id, now) {
             return format!("{id} leaves");
         }
-        match (gates.rest_ms(id, now), gates.limit(id, now)) {
+        match (gates.cooldown_ms(id, now), gates.limit(id, now)) {
             (0, Some(limit)) => format!("{id} takes {} a second", limit.per_s()),
             (0, None) => format!("{id} said nothing"),
             (ms, _) => format!("{id} rests for {ms} ms"),
@@ -79,16 +79,16 @@
     pub(crate) fn current(node: &Node, now: u64) -> Self {
         let mut targets = Self::default();
         let gates = node.outbound.gates();
-        for (target, _) in gates.leaving(now) {
+        for (target, _) in gates.draining(now) {
             targets.sends.insert(target.clone(), LEAVING_MS);
             targets.loads.insert(target.clone());
         }
-        for (target, ms) in gates.resting(now) {
+        for (target, ms) in gates.cooldowns(now) {
             let known = targets.sends.entry(target.clone()).or_default();
             *known = ms.max(*known);
             targets.loads.insert(target.clone());
         }
-        for (target, _) in gates.limited(now) {
+        for (target, _) in gates.limits(now) {
             let ms = node.target_limits.unavailable_ms(target, now);
             if ms > 0 {
                 let known = targets.sends.entry(target.clone()).or_default();
