--- a/crates/comfreyhall-domain/src/ask.rs
+++ b/crates/comfreyhall-domain/src/ask.rs
@@ -17,16 +17,16 @@
 
 /// Size of a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tokens {
+pub struct TokenCounts {
     /// Prompt tokens.
     pub prompt: u32,
     /// Most output tokens.
-    pub output: u32,
+    pub max_output: u32,
 }
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptSegment {
     /// Its id.
     pub id: u64,
     /// Its tokens.
@@ -35,7 +35,7 @@
 
 /// What is forwarded as it came. Decisions never look inside.
 #[derive(Debug, Clone)]
-pub struct Message {
+pub struct ForwardedRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -48,7 +48,7 @@
 
 /// One request of a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The caller's id of this attempt.
     pub id: Name,
     /// Key that the caller sent; what is forwarded does not bear it.
@@ -56,15 +56,15 @@
     /// Host it was sent to.
     pub host: Name,
     /// How long the caller waits, in ms, counted from its arrival.
-    pub left_ms: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// Model and adapter, for engines.
     pub adapter: Option<AdapterRef>,
     /// Size of the generation, for engines.
-    pub tokens: Option<Tokens>,
+    pub tokens: Option<TokenCounts>,
     /// Parts of the prompt in order, for engines.
-    pub parts: Vec<Part>,
+    pub prompt_segments: Vec<PromptSegment>,
     /// The last event the caller has, if it resumes a stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// What is forwarded.
-    pub message: Message,
+    pub forwarded: ForwardedRequest,
 }
--- a/crates/comfreyhall-domain/src/outcome.rs
+++ b/crates/comfreyhall-domain/src/outcome.rs
@@ -2,8 +2,8 @@
 //! answer from it.
 //!
 //! A caller repeats a request after an answer that says "not run", so that
-//! answer is a promise. [`Verdict`] collects every send of a request and
-//! [`answer_for`] (with [`answer_held`] for requests that are held back)
+//! answer is a promise. [`SendHistory`] collects every send of a request and
+//! [`answer_for`] (with [`answer_quarantined`] for requests that are held back)
 //! alone chooses between the promise and an answer that promises nothing; no other code picks a status for a request that may
 //! have reached a target.
 
@@ -13,7 +13,7 @@
     /// The target has no room.
     Full,
     /// The target does not hold the adapter or version, or is another boot.
-    Elsewhere,
+    WrongTarget,
     /// The target refused the request for a reason of its own.
     Other,
 }
@@ -26,7 +26,7 @@
     /// The target proved that it did not run it.
     Refused(Refusal),
     /// It may have run: no answer, or none that belongs to it.
-    Doubt,
+    Indeterminate,
     /// The target answered whole.
     Answered,
     /// The answer began and broke off.
@@ -35,27 +35,27 @@
 
 /// What all sends of a request together prove.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Verdict {
+pub struct SendHistory {
     /// Targets it was sent to.
     pub sends: u32,
     /// Whether some send may have run it.
-    pub doubt: bool,
+    pub may_have_run: bool,
     /// The last refusal.
-    pub refusal: Option<Refusal>,
+    pub last_refusal: Option<Refusal>,
 }
 
-impl Verdict {
+impl SendHistory {
     /// Takes in the outcome of one more send.
-    pub fn add(&mut self, outcome: Outcome) {
+    pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotSent => {}
             Outcome::Refused(r) => {
                 self.sends += 1;
-                self.refusal = Some(r);
+                self.last_refusal = Some(r);
             }
-            Outcome::Doubt | Outcome::Broken | Outcome::Answered => {
+            Outcome::Indeterminate | Outcome::Broken | Outcome::Answered => {
                 self.sends += 1;
-                self.doubt = true;
+                self.may_have_run = true;
             }
         }
     }
@@ -64,7 +64,7 @@
     ///
     /// `repeatable`: it may run more than once. `attempts`: most targets.
     pub fn may_send(&self, repeatable: bool, attempts: u32) -> bool {
-        self.sends < attempts.max(1) && (repeatable || !self.doubt)
+        self.sends < attempts.max(1) && (repeatable || !self.may_have_run)
     }
 }
 
@@ -109,9 +109,9 @@
 }
 
 /// The answer to a request that is held back after `verdict`.
-pub fn answer_held(verdict: &Verdict, retry_ms: u64) -> Answer {
+pub fn answer_quarantined(verdict: &SendHistory, retry_ms: u64) -> Answer {
     Answer::Quarantined {
-        may_have_run: verdict.doubt,
+        may_have_run: verdict.may_have_run,
         retry_ms,
     }
 }
@@ -119,8 +119,8 @@
 /// The answer to a request after `verdict`.
 ///
 /// `late`: its time is up. `retry_ms`: when to come back if it has not run.
-pub fn answer_for(verdict: &Verdict, late: bool, retry_ms: u64) -> Answer {
-    match (verdict.doubt, late) {
+pub fn answer_for(verdict: &SendHistory, late: bool, retry_ms: u64) -> Answer {
+    match (verdict.may_have_run, late) {
         (false, _) => Answer::NotRun { retry_ms },
         (true, true) => Answer::TimedOut,
         (true, false) => Answer::Unknown,
--- a/crates/comfreyhall-domain/src/ranks.rs
+++ b/crates/comfreyhall-domain/src/ranks.rs
@@ -10,11 +10,11 @@
 
 /// All pairs of ranks of a configuration, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ranks(Vec<(u8, u8)>);
+pub struct PriorityTable(Vec<(u8, u8)>);
 
-impl Ranks {
+impl PriorityTable {
     /// The pairs of `config`; none if it has no workspaces.
-    pub fn of(config: &Config) -> Self {
+    pub fn from_config(config: &Config) -> Self {
         let Some(workspaces) = &config.workspaces else {
             return Self::default();
         };
@@ -36,7 +36,7 @@
     }
 
     /// Place of a request of `caller` on `route`; 0 is first.
-    pub fn of_call(&self, caller: &Caller, route: &Route) -> u8 {
+    pub fn position(&self, caller: &Caller, route: &Route) -> u8 {
         let rank = caller.workspace().and_then(|w| w.rank);
         let pair = (rank.unwrap_or(route.priority), route.priority);
         if self.0.is_empty() {
--- a/crates/comfreyhall-domain/src/target.rs
+++ b/crates/comfreyhall-domain/src/target.rs
@@ -13,7 +13,7 @@
 
 /// A model that an engine holds, with its adapters.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model.
     pub model: Name,
     /// Adapters held with it, each with its version.
@@ -30,28 +30,28 @@
     /// Name that it is listed under; a restart may keep it.
     pub name: Name,
     /// When this boot started, in Unix ms; 0 if it does not say.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// The service it serves.
     pub service: Name,
     /// `ip:port`.
     pub addr: Name,
     /// Its failure domain.
-    pub domain: Name,
+    pub failure_domain: Name,
     /// Where it is in its life.
     pub stage: Stage,
     /// Requests it runs at once.
-    pub slots: u32,
+    pub max_running: u32,
     /// Models held; empty for plain services.
-    pub held: Vec<Held>,
+    pub loaded: Vec<LoadedModel>,
     /// Orders accepted since it booted.
-    pub sequence: u64,
+    pub accepted_commands: u64,
     /// Version of the row that says so.
-    pub version: u64,
+    pub row_version: u64,
 }
 
 impl Target {
     /// Whether it holds `model`.
-    pub fn holds(&self, model: &str) -> bool {
-        self.held.iter().any(|h| &*h.model == model)
+    pub fn has_model(&self, model: &str) -> bool {
+        self.loaded.iter().any(|h| &*h.model == model)
     }
 }
--- a/crates/comfreyhall-domain/src/tests.rs
+++ b/crates/comfreyhall-domain/src/tests.rs
@@ -1,25 +1,25 @@
 use crate::*;
 
-fn route(prefix: &str, kind: Kind) -> Route {
+fn route(prefix: &str, kind: RouteKind) -> Route {
     Route {
         name: prefix.into(),
         host: "h".into(),
-        prefix: prefix.into(),
+        path_prefix: prefix.into(),
         kind,
         timeout_ms: 1_000,
-        target_ms: 300,
+        objective_ms: 300,
         priority: 1,
         shares: vec![
-            Share {
+            TrafficShare {
                 service: "a".into(),
                 weight: 90,
             },
-            Share {
+            TrafficShare {
                 service: "b".into(),
                 weight: 10,
             },
         ],
-        attempts: 2,
+        max_attempts: 2,
         resumable: false,
         public: false,
     }
@@ -30,11 +30,11 @@
         version: 1,
         routes,
         services: Map::default(),
-        limits: Limits {
+        limits: RequestLimits {
             header_bytes: 1,
             body_bytes: 1,
-            header_ms: 1,
-            idle_ms: 1,
+            header_timeout_ms: 1,
+            idle_timeout_ms: 1,
         },
         workspaces: None,
     }
@@ -42,18 +42,21 @@
 
 #[test]
 fn route_longest_prefix_wins() {
-    let c = config(vec![route("/a/", Kind::Safe), route("/a/b/", Kind::Safe)]);
-    assert_eq!(&*c.route("h", "/a/b/c").unwrap().prefix, "/a/b/");
-    assert_eq!(&*c.route("h", "/a/c").unwrap().prefix, "/a/");
-    assert!(c.route("h", "/b").is_none());
-    assert!(c.route("other", "/a/b/c").is_none());
+    let c = config(vec![
+        route("/a/", RouteKind::Idempotent),
+        route("/a/b/", RouteKind::Idempotent),
+    ]);
+    assert_eq!(&*c.match_route("h", "/a/b/c").unwrap().path_prefix, "/a/b/");
+    assert_eq!(&*c.match_route("h", "/a/c").unwrap().path_prefix, "/a/");
+    assert!(c.match_route("h", "/b").is_none());
+    assert!(c.match_route("other", "/a/b/c").is_none());
 }
 
 #[test]
 fn service_draw_follows_weights() {
-    let r = route("/", Kind::Safe);
+    let r = route("/", RouteKind::Idempotent);
     let hits = (0..100)
-        .filter(|d| &**r.service(*d).unwrap() == "b")
+        .filter(|d| &**r.pick_service(*d).unwrap() == "b")
         .count();
     assert_eq!(hits, 10);
 }
@@ -63,20 +66,20 @@
 /// back. Cause: the last refusal alone decided the answer.
 #[test]
 fn answer_doubt_outlasts_refusal() {
-    let mut v = Verdict::default();
-    v.add(Outcome::Doubt);
+    let mut v = SendHistory::default();
+    v.record(Outcome::Indeterminate);
     assert!(!v.may_send(false, 3));
     assert!(v.may_send(true, 3));
-    v.add(Outcome::Refused(Refusal::Full));
+    v.record(Outcome::Refused(Refusal::Full));
     assert_eq!(answer_for(&v, false, 5), Answer::Unknown);
     assert_eq!(answer_for(&v, true, 5), Answer::TimedOut);
 }
 
 #[test]
 fn answer_unsent_is_not_run() {
-    let mut v = Verdict::default();
-    v.add(Outcome::NotSent);
-    v.add(Outcome::Refused(Refusal::Elsewhere));
+    let mut v = SendHistory::default();
+    v.record(Outcome::NotSent);
+    v.record(Outcome::Refused(Refusal::WrongTarget));
     assert_eq!(v.sends, 1);
     assert_eq!(answer_for(&v, true, 7), Answer::NotRun { retry_ms: 7 });
 }
@@ -95,17 +98,20 @@
 #[test]
 fn caller_is_the_key_s_workspace() {
     let key = |text: &str| comfreyhall_workspace::PresentedKey::new(text.as_bytes());
-    let mut c = config(vec![route("/a/", Kind::Safe)]);
+    let mut c = config(vec![route("/a/", RouteKind::Idempotent)]);
     let closed = c.routes[0].clone();
-    assert_eq!(c.caller(&closed, None), Some(Caller::Anyone));
+    assert_eq!(c.resolve_caller(&closed, None), Some(Caller::Anonymous));
     c.workspaces = Some(workspaces());
-    let known = c.caller(&closed, Some(&key("k1"))).unwrap();
+    let known = c.resolve_caller(&closed, Some(&key("k1"))).unwrap();
     assert_eq!(&*known.workspace().unwrap().name, "w");
-    assert_eq!(c.caller(&closed, Some(&key("k2"))), None);
-    assert_eq!(c.caller(&closed, None), None);
+    assert_eq!(c.resolve_caller(&closed, Some(&key("k2"))), None);
+    assert_eq!(c.resolve_caller(&closed, None), None);
     let public = Route {
         public: true,
         ..closed
     };
-    assert_eq!(c.caller(&public, Some(&key("k1"))), Some(Caller::Anyone));
+    assert_eq!(
+        c.resolve_caller(&public, Some(&key("k1"))),
+        Some(Caller::Anonymous)
+    );
 }
--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use comfreyhall_domain::{Engine, Name};
+use comfreyhall_domain::{EngineConfig, Name};
 use comfreyhall_routing::admission;
 
 use super::{Bind, Bound, Unbound};
@@ -43,7 +43,7 @@
     bound(node, &ask, &placed.target, placed.version, 0.0)
 }
 
-fn engine_of(node: &Node, service: &Name) -> Option<Engine> {
+fn engine_of(node: &Node, service: &Name) -> Option<EngineConfig> {
     let config = node.config()?;
     config.services.get(service)?.engine.clone()
 }
@@ -61,7 +61,7 @@
     }
 }
 
-fn choose(node: &Node, ask: &Bind, engine: &Engine) -> Option<Plan> {
+fn choose(node: &Node, ask: &Bind, engine: &EngineConfig) -> Option<Plan> {
     let wish = Wish {
         need: &ask.need,
         aim_ms: ask.aim_ms,
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Name, Part, Tokens};
+use comfreyhall_domain::{AdapterRef, Name, PromptSegment, TokenCounts};
 use comfreyhall_protocol::{BindReply, BindRequest, PromptPart};
 
 use super::{Bind, Bound, Unbound, here};
@@ -27,7 +27,7 @@
         adapter: name.unwrap_or("").to_string(),
         version: ask.version,
         prompt_tokens: need.tokens.map_or(0, |t| t.prompt),
-        output_tokens: need.tokens.map_or(0, |t| t.output),
+        output_tokens: need.tokens.map_or(0, |t| t.max_output),
         parts: parts.collect(),
         priority: u32::from(ask.priority),
         aim_ms: ask.aim_ms,
@@ -42,7 +42,7 @@
 
 fn from_wire(ask: &BindRequest) -> Bind {
     let names = |all: &[String]| all.iter().map(|n| Name::from(n.as_str())).collect();
-    let parts = ask.parts.iter().map(|p| Part {
+    let parts = ask.parts.iter().map(|p| PromptSegment {
         id: p.id,
         tokens: p.tokens,
     });
@@ -51,9 +51,9 @@
             model: ask.model.as_str().into(),
             adapter: (!ask.adapter.is_empty()).then(|| ask.adapter.as_str().into()),
         }),
-        tokens: Some(Tokens {
+        tokens: Some(TokenCounts {
             prompt: ask.prompt_tokens,
-            output: ask.output_tokens,
+            max_output: ask.output_tokens,
         }),
         parts: parts.collect(),
     };
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -2,7 +2,10 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Ask, Engine, Kind, Map, Name, Part, Route, Target, Tokens};
+use comfreyhall_domain::{
+    AdapterRef, ClientRequest, EngineConfig, Map, Name, PromptSegment, Route, RouteKind, Target,
+    TokenCounts,
+};
 use comfreyhall_placement::PlaceTime;
 use comfreyhall_routing::{
     pick,
@@ -59,18 +62,18 @@
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
     /// Size of the generation.
-    pub(crate) tokens: Option<Tokens>,
+    pub(crate) tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) parts: Vec<PromptSegment>,
 }
 
 impl Need {
     /// What `ask` asks of an engine.
-    pub(crate) fn of(ask: &Ask) -> Self {
+    pub(crate) fn of(ask: &ClientRequest) -> Self {
         Self {
             adapter: ask.adapter.clone(),
             tokens: ask.tokens,
-            parts: ask.parts.clone(),
+            parts: ask.prompt_segments.clone(),
         }
     }
 
@@ -116,7 +119,7 @@
     /// Group whose engines alone come into question: the caller holds its
     /// lease and knows of every run there.
     pub(crate) group: Option<&'a str>,
-    pub(crate) engine: Option<&'a Engine>,
+    pub(crate) engine: Option<&'a EngineConfig>,
     /// Targets it was sent to.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
@@ -128,7 +131,7 @@
 
 impl Wish<'_> {
     fn open(&self, target: &Target) -> bool {
-        self.group.is_none_or(|g| *target.domain == *g)
+        self.group.is_none_or(|g| *target.failure_domain == *g)
             && !self.closed.contains(&target.id)
             && (!self.only_tried || self.tried.contains(&target.id))
     }
@@ -148,7 +151,7 @@
         .collect();
     let base = |t: &Target| Choice {
         id: t.id.clone(),
-        near: t.domain == settings.domain || !policies.near_first,
+        near: t.failure_domain == settings.domain || !policies.near_first,
         wait_ms: 0.0,
         load_ms: 0.0,
         stored: false,
@@ -175,7 +178,7 @@
         }
         _ => {
             let plain = |t: &Arc<Target>| Choice {
-                wait_ms: view.board.plain_ms(&t.id, t.slots, now),
+                wait_ms: view.board.plain_ms(&t.id, t.max_running, now),
                 ..base(t)
             };
             (targets.iter().map(plain).collect(), 0)
@@ -244,7 +247,7 @@
 /// What an engine must have for a request.
 struct Wanted<'a> {
     adapter: &'a AdapterRef,
-    engine: &'a Engine,
+    engine: &'a EngineConfig,
     /// Least version that will do; 0 for any.
     version: u64,
 }
@@ -280,7 +283,7 @@
     let prices = prices(node, view, wish, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
-    let at_home = wish.group.is_some() || targets.iter().any(|t| t.domain == domain);
+    let at_home = wish.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
     let resident = |t: &Target| view.residency.version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
@@ -290,7 +293,7 @@
     };
     let mut loaders: Vec<(bool, u64, Choice)> = Vec::new();
     let mut out = Vec::new();
-    for t in targets.iter().filter(|t| t.holds(&adapter.model)) {
+    for t in targets.iter().filter(|t| t.has_model(&adapter.model)) {
         let mut choice = base(t);
         let mut tokens = unread(view, wish.need, &t.id);
         if reader == Some(&t.id) {
@@ -302,7 +305,7 @@
             let reading = view.board.reading_ms(tokens as f64);
             choice.beside_ms = prices.reading_ms(reading, streams);
         }
-        let away = hot && at_home && wish.group.is_none() && t.domain != domain;
+        let away = hot && at_home && wish.group.is_none() && t.failure_domain != domain;
         if away {
             choice.beside_ms += AWAY_MS;
         }
@@ -321,8 +324,8 @@
         if away || shut.loads(&t.id) {
             continue;
         }
-        let held_lease = node.token(&t.domain).is_some();
-        if !held_lease && node.fleet.holder(&t.domain, now).is_none() {
+        let held_lease = node.token(&t.failure_domain).is_some();
+        if !held_lease && node.fleet.holder(&t.failure_domain, now).is_none() {
             continue;
         }
         let recent = view.residency.recent(adapter, &t.id, now);
@@ -330,10 +333,10 @@
         // A copy of a hot adapter serves many, not one request.
         choice.stored = !recent && !hot && policies.spare_store;
         choice.evicts =
-            policies.spare_places && !hot && view.residency.count(&t.id) >= engine.places;
+            policies.spare_places && !hot && view.residency.count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
         let told = used.get(&t.id).copied().unwrap_or(0);
-        let full = known.max(told) >= engine.places;
+        let full = known.max(told) >= engine.adapter_slots;
         if full {
             choice.load_ms += FULL_MS;
         }
@@ -362,7 +365,7 @@
     node: &Node,
     view: &View,
     wish: &Wish<'_>,
-    engine: &Engine,
+    engine: &EngineConfig,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
 ) -> Option<PlaceTime> {
@@ -371,11 +374,11 @@
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
-    let all = engine.places * targets.len() as u32;
+    let all = engine.adapter_slots * targets.len() as u32;
     Some(PlaceTime::new(used as u32, all, view.hold, wish.aim_ms))
 }
 
 /// Whether a stalled send may be abandoned for another.
 pub(crate) fn repeatable(route: &Route) -> bool {
-    route.repeatable() && route.attempts > 1 && route.kind != Kind::Unsafe
+    route.repeatable() && route.max_attempts > 1 && route.kind != RouteKind::NonIdempotent
 }
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{Config, Map, Name, Ranks, Stage, Target};
+use comfreyhall_domain::{Config, Map, Name, PriorityTable, Stage, Target};
 use comfreyhall_inforce::{InForce, Way};
 
 use crate::{
@@ -137,7 +137,7 @@
             tell_in_force(node, view, &config, fact);
             view.book.in_force.set_readable(true);
             view.config_key = Some(fact.key.clone());
-            view.ranks = Ranks::of(&config);
+            view.ranks = PriorityTable::from_config(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
@@ -159,7 +159,7 @@
             if !view.targets.contains_key(&target.id)
                 && let Some(known) = view.boot_of(&target.name)
             {
-                if known.born > target.born {
+                if known.started_at_ms > target.started_at_ms {
                     log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot passed over");
                     return false;
                 }
@@ -223,7 +223,7 @@
 
 /// Whether two entries of a target differ in nothing that routes depend on.
 fn same(a: &Target, b: &Target) -> bool {
-    let models = |t: &Target| t.held.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
+    let models = |t: &Target| t.loaded.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
 }
 
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -197,7 +197,7 @@
         };
         let view = node.view();
         let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
-        let targets = view.targets.values().filter(|t| held(&t.domain));
+        let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let totals = targets.filter_map(|t| {
             let work = view.board.told_by_all(&t.id, now);
             let adapters = used.get(&t.id).copied().unwrap_or(0);
@@ -234,7 +234,7 @@
         self.learn_roster(from, news, now);
         let mut view = node.view();
         let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
-        let targets = view.targets.values().filter(|t| held(&t.domain));
+        let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let targets: Vec<Name> = targets.map(|t| t.id.clone()).collect();
         let totals: Map<&str, &TargetTotal> =
             news.totals.iter().map(|t| (t.target.as_str(), t)).collect();
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -79,7 +79,7 @@
         self.node.fleet.tell(Event {
             run: self.run,
             target: self.target.id.clone(),
-            group: self.target.domain.clone(),
+            group: self.target.failure_domain.clone(),
             what,
         });
     }
@@ -124,7 +124,7 @@
         if let Some(seat) = &seat {
             let run = Run {
                 target: target.id.clone(),
-                group: target.domain.clone(),
+                group: target.failure_domain.clone(),
                 adapter: adapter.filter(|a| a.adapter.is_some()),
                 unread: tokens,
                 ahead,
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -45,7 +45,7 @@
     };
     let shut = Shut::now(node, now);
     for copy in due {
-        if node.token(&copy.target.domain).is_none() || shut.loads(&copy.target.id) {
+        if node.token(&copy.target.failure_domain).is_none() || shut.loads(&copy.target.id) {
             continue;
         }
         let id = &copy.target.id;
@@ -84,7 +84,7 @@
         let mut homes: Vec<_> = view
             .targets
             .values()
-            .filter(|t| t.stage == Stage::Ready && t.holds(&adapter.model))
+            .filter(|t| t.stage == Stage::Ready && t.has_model(&adapter.model))
             .filter(|t| view.residency.version(&adapter, &t.id).is_none())
             .map(|t| {
                 let used = in_use.get(&t.id).map_or(0, Vec::len);
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -1,4 +1,4 @@
-use comfreyhall_domain::{AdapterRef, Held, Map, Name, Target};
+use comfreyhall_domain::{AdapterRef, LoadedModel, Map, Name, Target};
 use comfreyhall_routing::Standing;
 
 use super::due;
@@ -6,7 +6,7 @@
 
 fn engine(id: &str) -> Target {
     Target {
-        held: vec![Held {
+        loaded: vec![LoadedModel {
             model: "m".into(),
             adapters: Vec::new(),
         }],
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -235,7 +235,7 @@
                 view.asked.prune(FORGOTTEN_SCORE, now);
             }
             let ours = engines(&node).into_iter();
-            let ours = ours.filter(|t| node.token(&t.domain).is_some());
+            let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
             node.keepers.window().open(ours.len());
             for target in &ours {
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -34,7 +34,7 @@
         adapter: &AdapterRef,
         version: u64,
     ) -> OrderReply {
-        let Some(token) = self.node.token(&self.target.domain) else {
+        let Some(token) = self.node.token(&self.target.failure_domain) else {
             return OrderReply::Fenced;
         };
         if self.node.leaving() {
@@ -63,7 +63,7 @@
             }
             OrderReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.beat(&self.target.domain, token);
+                self.node.leases.beat(&self.target.failure_domain, token);
             }
             // It is not given orders again before it has reported.
             OrderReply::Unsent => self.synced = false,
@@ -84,7 +84,7 @@
         let mut reply = OrderReply::Silent("not given".into());
         for _ in 0..ORDER_TIMES {
             // The lease may have lapsed while an answer was waited for.
-            if self.node.token(&self.target.domain) != Some(order.token) {
+            if self.node.token(&self.target.failure_domain) != Some(order.token) {
                 break;
             }
             let target = &self.target;
@@ -114,7 +114,7 @@
     /// Orders a model into an engine that has none, as after a restart.
     pub(super) async fn load_model(&mut self) {
         let now = self.node.now();
-        let empty = self.target.held.is_empty() && self.held.is_empty();
+        let empty = self.target.loaded.is_empty() && self.held.is_empty();
         if !empty || now < self.model_due || self.target.stage != Stage::Ready {
             return;
         }
@@ -145,9 +145,9 @@
         let view = self.node.view();
         let config = view.config.as_ref()?;
         let engine = config.services.get(&self.target.service)?.engine.as_ref()?;
-        let holders = |name: &Name| view.targets.values().filter(|t| t.holds(name)).count();
+        let holders = |name: &Name| view.targets.values().filter(|t| t.has_model(name)).count();
         let model = engine.models.iter().min_by_key(|m| holders(&m.name))?;
-        Some((model.name.clone(), model.load_ms, engine.loads_rate))
+        Some((model.name.clone(), model.load_ms, engine.load_rate))
     }
 
     /// This daemon's part of the groups that have engines.
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -41,7 +41,7 @@
         let found = self.node.view().targets.get(&self.target.id).cloned();
         let Some(target) = found else { return false };
         self.target = target;
-        self.node.token(&self.target.domain).is_some()
+        self.node.token(&self.target.failure_domain).is_some()
     }
 
     /// Does what can be done now; returns when to look again.
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -163,7 +163,7 @@
         let service = config.services.get(&t.service);
         service.is_some_and(|s| s.engine.is_some())
     });
-    let mut out: Vec<Name> = engines.map(|t| t.domain.clone()).collect();
+    let mut out: Vec<Name> = engines.map(|t| t.failure_domain.clone()).collect();
     out.sort();
     out.dedup();
     out
--- a/crates/comfreyhall-node/src/metrics.rs
+++ b/crates/comfreyhall-node/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Mutex;
 
-use comfreyhall_domain::{Kind, Set};
+use comfreyhall_domain::{RouteKind, Set};
 use comfreyhall_telemetry::Exposition;
 use opentelemetry::{
     KeyValue,
@@ -95,11 +95,11 @@
         }
     }
 
-    pub(crate) fn request(&self, kind: Kind, how: &'static str) {
+    pub(crate) fn request(&self, kind: RouteKind, how: &'static str) {
         let kind = match kind {
-            Kind::Safe => "safe",
-            Kind::Unsafe => "unsafe",
-            Kind::Stream => "stream",
+            RouteKind::Idempotent => "safe",
+            RouteKind::NonIdempotent => "unsafe",
+            RouteKind::Stream => "stream",
         };
         let labels = [KeyValue::new("kind", kind), KeyValue::new("how", how)];
         self.requests.add(1, &labels);
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{AdapterRef, Config, Map, Name, Ranks, Target};
+use comfreyhall_domain::{AdapterRef, Config, Map, Name, PriorityTable, Target};
 use comfreyhall_life::{Life, Stage};
 use comfreyhall_placement::{Demand, Hold, engines_for};
 use comfreyhall_routing::{Board, Budget, Prefixes, Residency};
@@ -64,7 +64,7 @@
     /// Key of the row that it stands in.
     pub(crate) config_key: Option<Name>,
     /// Order of requests by workspace and route.
-    pub(crate) ranks: Ranks,
+    pub(crate) ranks: PriorityTable,
     pub(crate) named: Map<AdapterRef, Named>,
     /// Targets by the id of their boot.
     pub(crate) targets: Map<Name, Arc<Target>>,
@@ -96,7 +96,7 @@
         Self {
             config: None,
             config_key: None,
-            ranks: Ranks::default(),
+            ranks: PriorityTable::default(),
             named: Map::default(),
             targets: Map::default(),
             unread: Map::default(),
@@ -160,8 +160,8 @@
         let service = config.and_then(|c| c.services.get(&target.service));
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| {
-            let models = e.models.iter().filter(|m| target.holds(&m.name));
-            models.map(|m| e.room(m)).min().unwrap_or(0)
+            let models = e.models.iter().filter(|m| target.has_model(&m.name));
+            models.map(|m| e.max_adapters(m)).min().unwrap_or(0)
         })
     }
 
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -47,7 +47,7 @@
 /// holder binds runs to it, or any that all daemons agree on.
 fn group_of(node: &Node, target: &Name, groups: &[Name]) -> Option<Name> {
     let known = node.view().targets.get(target).cloned();
-    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.domain));
+    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.failure_domain));
     domain.or_else(|| home_group(target, groups)).cloned()
 }
 
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use comfreyhall_backpressure::{Change, Gates, Notice};
-use comfreyhall_domain::{Ask, Target};
+use comfreyhall_domain::{ClientRequest, Target};
 use rand::Rng;
 use tokio::time::timeout;
 
@@ -132,7 +132,7 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     mut permit: Permit,
-    ask: Arc<Ask>,
+    ask: Arc<ClientRequest>,
     extra: Extra,
     patience: Duration,
 ) -> Result<Response, SendError> {
--- a/crates/comfreyhall-node/src/ports.rs
+++ b/crates/comfreyhall-node/src/ports.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use comfreyhall_backpressure::Notice;
-use comfreyhall_domain::{AdapterRef, Ask, Config, Name, Refusal, Target};
+use comfreyhall_domain::{AdapterRef, ClientRequest, Config, Name, Refusal, Target};
 use futures::{Stream, future::BoxFuture};
 use http::{HeaderMap, StatusCode};
 use thiserror::Error;
@@ -235,7 +235,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
     /// Models held, each with its adapters and their versions.
-    pub held: Vec<comfreyhall_domain::Held>,
+    pub held: Vec<comfreyhall_domain::LoadedModel>,
     /// Adapters on their way, with their versions.
     pub coming: Vec<(AdapterRef, u64)>,
     /// Orders accepted.
@@ -300,7 +300,7 @@
     fn send(
         &self,
         target: Arc<Target>,
-        ask: Arc<Ask>,
+        ask: Arc<ClientRequest>,
         extra: Extra,
     ) -> BoxFuture<'static, Result<Response, SendError>>;
 
--- a/crates/comfreyhall-node/src/quiet.rs
+++ b/crates/comfreyhall-node/src/quiet.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use comfreyhall_domain::{Ask, Stage, Target};
+use comfreyhall_domain::{ClientRequest, Stage, Target};
 use comfreyhall_settings::NodeSettings;
 use futures::{FutureExt, future::BoxFuture};
 
@@ -21,15 +21,15 @@
     Target {
         id: id.into(),
         name: id.into(),
-        born: 0,
+        started_at_ms: 0,
         service: "s".into(),
         addr: "127.0.0.1:1".into(),
-        domain: "d".into(),
+        failure_domain: "d".into(),
         stage: Stage::Ready,
-        slots: 4,
-        held: Vec::new(),
-        sequence: 0,
-        version: 1,
+        max_running: 4,
+        loaded: Vec::new(),
+        accepted_commands: 0,
+        row_version: 1,
     }
 }
 
@@ -40,12 +40,12 @@
     Some(Target {
         id: format!("{}@{born}", fact.key).into(),
         name: fact.key.clone(),
-        born: born.parse().ok()?,
+        started_at_ms: born.parse().ok()?,
         stage: match stage {
             "ready" => Stage::Ready,
             _ => Stage::Draining,
         },
-        version: fact.version,
+        row_version: fact.version,
         ..target(&fact.key)
     })
 }
@@ -78,7 +78,7 @@
     fn send(
         &self,
         _: Arc<Target>,
-        _: Arc<Ask>,
+        _: Arc<ClientRequest>,
         _: Extra,
     ) -> BoxFuture<'static, Result<Response, SendError>> {
         std::future::pending().boxed()
--- a/crates/comfreyhall-node/src/relay.rs
+++ b/crates/comfreyhall-node/src/relay.rs
@@ -149,7 +149,7 @@
                     job.ran_whole();
                     job.ended = true;
                     job.node.metrics.request(job.route.kind, "answered");
-                    log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, target_id:% = self.flight.target, adapter:% = job.adapter(), events = self.passed, resumes = self.resumes, first = job.first, stall = job.stall, pause = self.pause, aim = job.route.target_ms, sends = job.verdict.sends, ms = self.flight.took(); "streamed");
+                    log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, target_id:% = self.flight.target, adapter:% = job.adapter(), events = self.passed, resumes = self.resumes, first = job.first, stall = job.stall, pause = self.pause, aim = job.route.objective_ms, sends = job.verdict.sends, ms = self.flight.took(); "streamed");
                     return None;
                 }
                 Ok(Step::Broken(why)) => why,
@@ -194,7 +194,7 @@
         if std::mem::take(&mut self.closed) {
             job.broke(&self.flight);
         }
-        job.verdict.add(Outcome::Broken);
+        job.verdict.record(Outcome::Broken);
         let last = self.last;
         log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, fingerprint:% = job.fingerprint(), target_id:% = self.flight.target, events = self.passed, why, left = job.left(); "stream broke off");
         // The old run must be gone before the new one begins.
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -1,6 +1,6 @@
 //! Who calls, whether that still holds, and whether it may use more.
 
-use comfreyhall_domain::{Allowance, Answer, Ask, Caller, Config, Route, answer_for};
+use comfreyhall_domain::{Allowance, Answer, Caller, ClientRequest, Config, Route, answer_for};
 use comfreyhall_inforce::{InForce, Taken, Verdict};
 
 use super::{Job, NOT_READY_MS, Reply};
@@ -25,9 +25,13 @@
 }
 
 /// The route of `ask` and who calls, by `config`.
-pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Turned> {
-    let path = ask.message.path.split('?').next().unwrap_or("");
-    let Some(route) = config.route(&ask.host, path) else {
+pub(super) fn admit(
+    node: &Node,
+    config: &Config,
+    ask: &ClientRequest,
+) -> Result<(Route, Caller), Turned> {
+    let path = ask.forwarded.path.split('?').next().unwrap_or("");
+    let Some(route) = config.match_route(&ask.host, path) else {
         // The route may have been added where this daemon could not hear of it.
         return Err(match node.settings_may_lag() {
             true => Turned::Unsure,
@@ -37,7 +41,7 @@
     if config.workspaces.is_some() && !route.public && node.keys_lapsed() {
         return Err(Turned::Unsure);
     }
-    match config.caller(route, ask.key.as_ref()) {
+    match config.resolve_caller(route, ask.key.as_ref()) {
         Some(caller) => Ok((route.clone(), caller)),
         // A caller does not come back after the final answer, and the key may
         // have been given out a moment ago.
@@ -97,7 +101,7 @@
 
     /// The answer to a request that is not taken; one line for each, but for a
     /// flood of them.
-    pub(super) fn turn_away(&self, ask: &Ask, config: u64, why: Turned) -> Reply {
+    pub(super) fn turn_away(&self, ask: &ClientRequest, config: u64, why: Turned) -> Reply {
         let (reply, refusal) = match why {
             Turned::NoRoute => (Reply::NoRoute, "no route"),
             Turned::NoKey => (Reply::NoKey, "unknown key"),
@@ -132,7 +136,7 @@
             Allowance::Capped(cap) => cap,
         };
         let tokens = self.ask.tokens;
-        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.output));
+        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
         let size = cap.size(tokens);
         self.node.caps.catch_up(&self.node, config);
         match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
@@ -189,7 +193,7 @@
         if config.version == self.config {
             return true;
         }
-        let found = config.caller(&self.route, self.ask.key.as_ref());
+        let found = config.resolve_caller(&self.route, self.ask.key.as_ref());
         let found = found.as_ref().and_then(Caller::workspace);
         found.is_some_and(|w| w.name == known.name)
     }
@@ -205,7 +209,7 @@
         }
         let held = self.node.now() - self.began;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
-        match self.verdict.doubt {
+        match self.verdict.may_have_run {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
             false => Reply::NoKey,
         }
@@ -214,7 +218,7 @@
     /// Its credit goes back if it has surely not run.
     pub(super) fn give_credit_back(&mut self) {
         if let Some(credit) = self.credit.take()
-            && !self.verdict.doubt
+            && !self.verdict.may_have_run
         {
             credit.give_back();
         }
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -1,6 +1,6 @@
 //! Which request an attempt is one of, and whether that may be sent.
 
-use comfreyhall_domain::{Ask, Caller, answer_held};
+use comfreyhall_domain::{Caller, ClientRequest, answer_quarantined};
 use comfreyhall_quarantine::Fingerprint;
 
 use super::{Job, Reply};
@@ -13,13 +13,13 @@
 /// host it calls, what it calls, and its body. Ids, time limits and hints differ
 /// from attempt to attempt, and other headers are the caller's own to change, so
 /// all are left out.
-fn fingerprint_of(ask: &Ask, caller: &Caller) -> Fingerprint {
+fn fingerprint_of(ask: &ClientRequest, caller: &Caller) -> Fingerprint {
     Fingerprint::of([
         ask.host.as_bytes(),
         caller.workspace().map_or("", |w| &*w.name).as_bytes(),
-        ask.message.method.as_str().as_bytes(),
-        ask.message.path.as_bytes(),
-        &ask.message.body,
+        ask.forwarded.method.as_str().as_bytes(),
+        ask.forwarded.path.as_bytes(),
+        &ask.forwarded.body,
     ])
 }
 
@@ -84,7 +84,7 @@
         }
         let (now, left, fingerprint) = (self.node.now(), self.left(), self.fingerprint());
         let held = now - self.began;
-        let answer = answer_held(&self.verdict, retry_ms);
+        let answer = answer_quarantined(&self.verdict, retry_ms);
         let evidence = self.node.quarantine.ends(&fingerprint, now);
         self.node.metrics.request(self.route.kind, answer.name());
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, why, answer:?, evidence, sends = self.verdict.sends, held, left; "given up");
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -17,7 +17,8 @@
 
 use bytes::Bytes;
 use comfreyhall_domain::{
-    Answer, Ask, Caller, Config, Engine, Kind, Name, Route, Verdict, answer_for,
+    Answer, Caller, ClientRequest, Config, EngineConfig, Name, Route, RouteKind, SendHistory,
+    answer_for,
 };
 use comfreyhall_quarantine::Fingerprint;
 use comfreyhall_routing::{Budget, admission};
@@ -98,7 +99,7 @@
 /// One request on its way.
 pub(crate) struct Job {
     pub(crate) node: Arc<Node>,
-    pub(crate) ask: Arc<Ask>,
+    pub(crate) ask: Arc<ClientRequest>,
     need: Arc<Need>,
     /// Its identity over all attempts, once it was needed.
     fingerprint: OnceLock<Fingerprint>,
@@ -111,7 +112,7 @@
     /// Credit under its workspace's cap.
     credit: Option<Credit>,
     service: Name,
-    engine: Option<Engine>,
+    engine: Option<EngineConfig>,
     began: u64,
     /// When its time is up.
     pub(crate) limit: u64,
@@ -120,7 +121,7 @@
     closed: Vec<Name>,
     /// Times that a target was full.
     full: u32,
-    pub(crate) verdict: Verdict,
+    pub(crate) verdict: SendHistory,
     /// Sends that reached a target.
     arrivals: u32,
     /// A failure of a target, to be passed on if nothing better comes.
@@ -152,7 +153,7 @@
     /// Serves a request of a caller. Dropping the future cancels what may be
     /// cancelled: a request that runs at most once goes on to its end, since
     /// half of it can be neither undone nor repeated.
-    pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
+    pub async fn serve(self: &Arc<Self>, ask: ClientRequest) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.life_known()) else {
             let basis = Basis::of(&self.view().book.in_force, self.now());
@@ -180,11 +181,11 @@
             return reply;
         }
         match job.route.kind {
-            Kind::Unsafe => match tokio::spawn(job.run()).await {
+            RouteKind::NonIdempotent => match tokio::spawn(job.run()).await {
                 Ok(reply) => reply,
                 Err(_) => Reply::Unanswered(Answer::Unknown),
             },
-            Kind::Safe | Kind::Stream => job.run().await,
+            RouteKind::Idempotent | RouteKind::Stream => job.run().await,
         }
     }
 
@@ -197,16 +198,16 @@
     fn new(
         node: &Arc<Node>,
         config: &Config,
-        ask: Ask,
+        ask: ClientRequest,
         route: Route,
         caller: Caller,
     ) -> Option<Self> {
         let draw: u64 = rand::rng().random();
-        let service = route.service(draw)?.clone();
+        let service = route.pick_service(draw)?.clone();
         let engine = config.services.get(&service).and_then(|s| s.engine.clone());
         let began = node.now();
         let left = ask
-            .left_ms
+            .remaining_ms
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         Some(Self {
@@ -215,7 +216,7 @@
             need: Arc::new(Need::of(&ask)),
             fingerprint: OnceLock::new(),
             ask: Arc::new(ask),
-            rank: node.view().ranks.of_call(&caller, &route),
+            rank: node.view().ranks.position(&caller, &route),
             route,
             caller,
             config: config.version,
@@ -227,7 +228,7 @@
             tried: Vec::new(),
             closed: Vec::new(),
             full: 0,
-            verdict: Verdict::default(),
+            verdict: SendHistory::default(),
             arrivals: 0,
             spare: None,
             tracked: None,
@@ -307,7 +308,7 @@
             if self.arrivals > 0 && !self.repeat() {
                 return self.give_up("the retry budget is spent", plan.wait_ms);
             }
-            let last_event = self.ask.last_event;
+            let last_event = self.ask.last_event_id;
             match self.send(&mut plan, permit, last_event).await {
                 Ok((response, flight)) => match self.answer(response, flight, plan).await {
                     Next::Reply(reply) => return reply,
@@ -319,7 +320,7 @@
                 return self.give_up("it may have run", 0.0);
             }
             if self.exhausted() {
-                let excess = self.route.target_ms as f64 * SPENT_PART;
+                let excess = self.route.objective_ms as f64 * SPENT_PART;
                 return self.give_up("every send it may have is spent", excess);
             }
         }
@@ -336,17 +337,17 @@
 
     /// Whether a wait of `wait_ms` would be too long for it.
     fn refuses(&self, wait_ms: f64) -> bool {
-        admission::refuse(wait_ms, self.left(), self.route.target_ms, self.rank)
+        admission::refuse(wait_ms, self.left(), self.route.objective_ms, self.rank)
     }
 
     /// Whether it may only go where it was sent before.
     fn only_tried(&self) -> bool {
-        self.tried.len() as u32 >= self.route.attempts.max(1)
+        self.tried.len() as u32 >= self.route.max_attempts.max(1)
     }
 
     /// Whether all targets it may be sent to have had it in doubt.
     fn exhausted(&self) -> bool {
-        self.verdict.doubt && self.only_tried()
+        self.verdict.may_have_run && self.only_tried()
     }
 
     /// Whether too much of its time went by without a send.
@@ -360,7 +361,7 @@
     }
 
     fn hold_end(&self) -> u64 {
-        let most = admission::hold_ms(self.limit - self.began, self.route.target_ms);
+        let most = admission::hold_ms(self.limit - self.began, self.route.objective_ms);
         self.began + most
     }
 
@@ -400,7 +401,7 @@
     fn choose(&self) -> Option<Plan> {
         let wish = Wish {
             need: &self.need,
-            aim_ms: self.route.target_ms,
+            aim_ms: self.route.objective_ms,
             service: &self.service,
             group: None,
             engine: self.engine.as_ref(),
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -61,7 +61,7 @@
             // The holder is left out now; what needs no load needs no holder.
             Err(Unbound::Unanswered) if !plan.loads => Found::Engine,
             Err(Unbound::TooLong(ms)) => {
-                self.close_group(&plan.target.domain);
+                self.close_group(&plan.target.failure_domain);
                 Found::TooLong(ms)
             }
             Err(why) => {
@@ -74,12 +74,12 @@
     fn wanted(&self, plan: &Plan, run: u64, may_wait: bool) -> Bind {
         Bind {
             run,
-            group: plan.target.domain.clone(),
+            group: plan.target.failure_domain.clone(),
             service: self.service.clone(),
             need: self.need.clone(),
             version: plan.version,
             priority: self.rank,
-            aim_ms: self.route.target_ms,
+            aim_ms: self.route.objective_ms,
             spent_ms: self.node.now() - self.began,
             left_ms: self.left(),
             tried: self.tried.clone(),
@@ -124,15 +124,18 @@
     /// Takes no engine of `group` for this request.
     fn close_group(&mut self, group: &str) {
         let view = self.node.view();
-        let engines = view.targets.values().filter(|t| *t.domain == *group);
+        let engines = view
+            .targets
+            .values()
+            .filter(|t| *t.failure_domain == *group);
         let engines: Vec<Name> = engines.map(|t| t.id.clone()).collect();
         drop(view);
         self.closed.extend(engines);
     }
 
     async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = key_of(adapter), why:%; "no engine found");
-        self.close_group(&plan.target.domain);
+        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = key_of(adapter), why:%; "no engine found");
+        self.close_group(&plan.target.failure_domain);
         if let Unbound::Unplaced { gone, .. } = why {
             let until = self.node.now() + UNREACHED_MS;
             for target in gone {
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use comfreyhall_domain::{Kind, Name, Outcome, Refusal};
+use comfreyhall_domain::{Name, Outcome, Refusal, RouteKind};
 use comfreyhall_routing::Standing;
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
@@ -48,7 +48,7 @@
     pub(super) fn patience(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
         let mute = self.node.policies().patience;
-        if !mute || !choose::repeatable(&self.route) || tries >= self.route.attempts {
+        if !mute || !choose::repeatable(&self.route) || tries >= self.route.max_attempts {
             return self.left();
         }
         let patience = PATIENCE_MS + (plan.wait_ms * PATIENCE_TIMES) as u64;
@@ -115,7 +115,7 @@
                 Ok((response, flight))
             }
             Err(SendError::NotSent(why)) => {
-                self.verdict.add(Outcome::NotSent);
+                self.verdict.record(Outcome::NotSent);
                 flight.note(false, UNREACHED_WEIGHT);
                 let until = self.node.now() + UNREACHED_MS;
                 self.node.view().dead.insert(plan.target.id.clone(), until);
@@ -124,7 +124,7 @@
             }
             Err(SendError::Closed(why)) => {
                 self.arrive(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
                 self.broke(&flight);
                 self.tell(&plan.target.id, "in doubt", &why);
@@ -132,7 +132,7 @@
             }
             Err(SendError::Doubt(why)) => {
                 self.arrive(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
                 self.tell(&plan.target.id, "in doubt", &why);
                 Err(())
@@ -177,7 +177,7 @@
             return Next::Again;
         }
         if response.status.is_success() && !response.genuine {
-            self.verdict.add(Outcome::Doubt);
+            self.verdict.record(Outcome::Indeterminate);
             flight.note(false, FAILED_WEIGHT);
             self.tell(&flight.target, "in doubt", "the answer is not a target's");
             return Next::Again;
@@ -203,7 +203,7 @@
                     }
                     _ => "its time is up".to_string(),
                 };
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 flight.note(false, FAILED_WEIGHT);
                 self.tell(&flight.target, "broken off", &why);
                 Next::Again
@@ -212,15 +212,15 @@
     }
 
     pub(super) fn refused(&mut self, refusal: Refusal, flight: &Flight, plan: &Plan) {
-        self.verdict.add(Outcome::Refused(refusal));
+        self.verdict.record(Outcome::Refused(refusal));
         let now = self.node.now();
         let target = &flight.target;
         match (refusal, &self.ask.adapter) {
-            (Refusal::Elsewhere, Some(adapter)) => {
+            (Refusal::WrongTarget, Some(adapter)) => {
                 let mut view = self.node.view();
                 view.residency.note(adapter, target, Standing::Absent, now);
             }
-            (Refusal::Elsewhere, None) => {
+            (Refusal::WrongTarget, None) => {
                 let until = now + UNREACHED_MS;
                 self.node.view().dead.insert(target.clone(), until);
             }
@@ -236,7 +236,7 @@
             "refused",
             match refusal {
                 Refusal::Full => "the target is full",
-                Refusal::Elsewhere => "it is not there",
+                Refusal::WrongTarget => "it is not there",
                 Refusal::Other => "for a reason of its own",
             },
         );
@@ -246,7 +246,7 @@
     pub(super) async fn relay(&mut self, response: Response, flight: Flight, plan: Plan) -> Next {
         let (status, headers) = (response.status, response.headers);
         let patience = self.patience(&plan).saturating_sub(flight.took()).max(1);
-        let mut relay = Relay::new(response.body, flight, self.ask.last_event);
+        let mut relay = Relay::new(response.body, flight, self.ask.last_event_id);
         let first = relay.first(Duration::from_millis(patience)).await;
         match first {
             Ok(()) => {
@@ -254,7 +254,8 @@
                     let now = self.node.now();
                     let mut view = self.node.view();
                     let target = &plan.target.id;
-                    view.prefixes.note(adapter, &self.ask.parts, target, now);
+                    view.prefixes
+                        .note(adapter, &self.ask.prompt_segments, target, now);
                 }
                 let job = self.take();
                 self.node.metrics.first(job.first);
@@ -269,7 +270,7 @@
                 if relay.closed {
                     self.broke(&relay.flight);
                 }
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 relay.flight.note(false, FAILED_WEIGHT);
                 self.tell(&plan.target.id, "broken off before its first event", &why);
                 Next::Again
@@ -324,16 +325,16 @@
             let took = flight.took();
             self.node.view().board.learn_took(&flight.target, took);
         }
-        self.verdict.add(Outcome::Answered);
+        self.verdict.record(Outcome::Answered);
         self.ran_whole();
-        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = flight.target, status = status.as_u16(), ms = now - self.began, aim = self.route.target_ms, sends = self.verdict.sends; "answered");
+        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = flight.target, status = status.as_u16(), ms = now - self.began, aim = self.route.objective_ms, sends = self.verdict.sends; "answered");
         self.node
             .metrics
             .request(self.route.kind, if ok { "answered" } else { "failed" });
-        let again = self.route.kind == Kind::Safe
+        let again = self.route.kind == RouteKind::Idempotent
             && !ok
-            && (self.tried.len() as u32) < self.route.attempts
-            && self.left() > self.route.target_ms / 4;
+            && (self.tried.len() as u32) < self.route.max_attempts
+            && self.left() > self.route.objective_ms / 4;
         if again {
             self.spare = Some((status, headers, body));
             return Next::Again;
@@ -348,7 +349,7 @@
         last_event: Option<u64>,
     ) -> Result<(Response, Flight), ()> {
         let may = self.verdict.may_send(self.route.repeatable(), u32::MAX)
-            && (self.tried.len() as u32) < self.route.attempts;
+            && (self.tried.len() as u32) < self.route.max_attempts;
         if !may || self.left() == 0 || self.held_back().await.is_some() || !self.repeat() {
             return Err(());
         }
--- a/crates/comfreyhall-node/tests/bind.rs
+++ b/crates/comfreyhall-node/tests/bind.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use comfreyhall_domain::{AdapterRef, Ask, Kind, Name, Tokens};
+use comfreyhall_domain::{AdapterRef, ClientRequest, Name, RouteKind, TokenCounts};
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_lease::Lease;
 use comfreyhall_node::Node;
@@ -89,16 +89,16 @@
     ended.expect("it never came to this");
 }
 
-fn model_ask(id: &str, adapter: Option<&str>) -> Ask {
-    Ask {
+fn model_ask(id: &str, adapter: Option<&str>) -> ClientRequest {
+    ClientRequest {
         adapter: Some(AdapterRef {
             model: "m".into(),
             adapter: adapter.map(Name::from),
         }),
         // Long enough that one prompt more is no equal choice.
-        tokens: Some(Tokens {
+        tokens: Some(TokenCounts {
             prompt: 1_000,
-            output: 20,
+            max_output: 20,
         }),
         ..ask(id)
     }
@@ -114,9 +114,9 @@
     let table = FakeTable::default();
     let theirs = Lease::new(table.clone(), "d", "h".into(), Duration::from_secs(3));
     theirs.step(Instant::now, true).await.unwrap();
-    let mut world = scenery(route(Kind::Stream, 1, false), Some(engine()));
+    let mut world = scenery(route(RouteKind::Stream, 1, false), Some(engine()));
     let targets = &mut Arc::get_mut(&mut world).unwrap().targets;
-    targets[0].held[0].adapters = vec![("a1".into(), 1)];
+    targets[0].loaded[0].adapters = vec![("a1".into(), 1)];
     let script = Arc::new(Script::default());
     *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
     let settings = settings_of("n", "127.0.0.1:1", &[holder], 0.25);
@@ -133,7 +133,7 @@
 /// others'. Cause: each chose the engine by the news that it had.
 #[tokio::test]
 async fn serve_runs_of_all_daemons_counted() {
-    let world = scenery(route(Kind::Stream, 1, false), Some(engine()));
+    let world = scenery(route(RouteKind::Stream, 1, false), Some(engine()));
     let script = Arc::new(Script::default());
     *script.always.lock().unwrap() = Some(Act::Mute);
     let table = FakeTable::default();
--- a/crates/comfreyhall-node/tests/caller.rs
+++ b/crates/comfreyhall-node/tests/caller.rs
@@ -7,7 +7,9 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{Ask, Config, Entry, Given, GivenUnit, Kind, Route, Workspaces, read};
+use comfreyhall_domain::{
+    ClientRequest, Config, Entry, Given, GivenUnit, Route, RouteKind, Workspaces, read,
+};
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_node::Node;
 use support::*;
@@ -46,7 +48,7 @@
     (node, script, world)
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> Got {
+async fn serve(node: &Arc<Node>, ask: ClientRequest) -> Got {
     got(node.serve(ask).await).await
 }
 
@@ -60,7 +62,11 @@
 /// Guards against targets that are not told the workspace of the caller's key.
 #[tokio::test]
 async fn serve_names_workspace_of_key() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, script, _) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(serve(&node, keyed("r1", "key of b")).await, Got::Whole(200));
     let seen = script.seen.lock().unwrap()[0].clone();
     assert_eq!(seen.extra.workspace.as_deref(), Some("b"));
@@ -70,7 +76,8 @@
 /// belongs to nobody.
 #[tokio::test]
 async fn serve_unknown_key_is_final() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, script, _) =
+        daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     assert_eq!(serve(&node, keyed("r1", "guess")).await, Got::NoKey);
     assert_eq!(serve(&node, ask("r2")).await, Got::NoKey);
     assert!(script.seen.lock().unwrap().is_empty());
@@ -80,7 +87,7 @@
 async fn serve_public_route_asks_no_key() {
     let open = Route {
         public: true,
-        ..route(Kind::Safe, 1, false)
+        ..route(RouteKind::Idempotent, 1, false)
     };
     let (node, script, _) = daemon(open, workspaces(&["a"])).await;
     assert_eq!(serve(&node, ask("r1")).await, Got::Whole(200));
@@ -92,7 +99,11 @@
 /// Guards against keys that go on working after they were taken back.
 #[tokio::test]
 async fn serve_key_taken_back() {
-    let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, _, world) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(serve(&node, keyed("r1", "key of b")).await, Got::Whole(200));
     world.publish(with(&world.config, 2, workspaces(&["a"])));
     until_in_force(&node, 2).await;
@@ -104,7 +115,11 @@
 /// while it waited.
 #[tokio::test]
 async fn serve_key_taken_back_while_it_waits() {
-    let (node, script, world) = daemon(route(Kind::Safe, 2, false), workspaces(&["a", "b"])).await;
+    let (node, script, world) = daemon(
+        route(RouteKind::Idempotent, 2, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     let full = Act::Refuse(comfreyhall_domain::Refusal::Full);
     *script.always.lock().unwrap() = Some(full);
     let waits = tokio::spawn({
@@ -125,7 +140,7 @@
 /// daemon that cannot read the settings does not know of it.
 #[tokio::test]
 async fn serve_unknown_key_of_lagging_daemon_may_return() {
-    let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, _, world) = daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     world.deaf.store(true, Ordering::SeqCst);
     let mut told = serve(&node, keyed("r0", "key of new")).await;
     for round in 1..200 {
@@ -148,7 +163,7 @@
 /// their withdrawal, where the deployment says that they must not.
 #[tokio::test]
 async fn serve_keys_lapse_without_store() {
-    let route = route(Kind::Safe, 1, false);
+    let route = route(RouteKind::Idempotent, 1, false);
     let (node, script, world) = daemon_with(route, workspaces(&["a"]), Some(300)).await;
     world.deaf.store(true, Ordering::SeqCst);
     let mut told = Got::Whole(200);
@@ -180,7 +195,7 @@
 /// its cap that costs the others.
 #[tokio::test]
 async fn serve_over_cap_is_refused() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), capped(5.0)).await;
+    let (node, script, _) = daemon(route(RouteKind::Idempotent, 1, false), capped(5.0)).await;
     // The burst is there one second after the daemon knows who there is.
     let mut answered = 0;
     while answered == 0 {
@@ -213,7 +228,7 @@
 /// Guards against credit that is lost with requests that did not run.
 #[tokio::test]
 async fn serve_refused_by_targets_keeps_credit() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), capped(3.0)).await;
+    let (node, script, _) = daemon(route(RouteKind::Idempotent, 1, false), capped(3.0)).await;
     while serve(&node, keyed("first", "key of a")).await != Got::Whole(200) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/comfreyhall-node/tests/fleet.rs
+++ b/crates/comfreyhall-node/tests/fleet.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{AdapterRef, Kind};
+use comfreyhall_domain::{AdapterRef, RouteKind};
 use comfreyhall_node::{
     Node,
     ports::{Arriving, Decoded, Fact, Source, SourceError, Topic},
@@ -78,7 +78,7 @@
 /// nobody collects for all.
 #[tokio::test]
 async fn news_reaches_all_through_holders() {
-    let route = route(Kind::Stream, 1, false);
+    let route = route(RouteKind::Stream, 1, false);
     let world = scenery(route, Some(engine()));
     let script = Arc::new(Script::default());
     script.loads.store(true, Ordering::SeqCst);
@@ -109,10 +109,10 @@
 /// Cause: what was found stayed with those who found it.
 #[tokio::test]
 async fn deadly_request_known_through_holders() {
-    let mut world = scenery(route(Kind::Stream, 1, false), Some(engine()));
+    let mut world = scenery(route(RouteKind::Stream, 1, false), Some(engine()));
     let targets = &mut Arc::get_mut(&mut world).unwrap().targets;
     let more = ["c", "d", "e"].map(|id| comfreyhall_domain::Target {
-        held: vec![held("m")],
+        loaded: vec![held("m")],
         ..target(id)
     });
     targets.extend(more);
@@ -129,7 +129,7 @@
             model: "m".into(),
             adapter: None,
         });
-        ask.message.body = bytes::Bytes::from_static(b"deadly");
+        ask.forwarded.body = bytes::Bytes::from_static(b"deadly");
         ask
     };
     // Each end is seen by another daemon.
--- a/crates/comfreyhall-node/tests/place.rs
+++ b/crates/comfreyhall-node/tests/place.rs
@@ -4,23 +4,23 @@
 
 use std::{sync::atomic::Ordering, time::Duration};
 
-use comfreyhall_domain::{AdapterRef, Kind};
+use comfreyhall_domain::{AdapterRef, RouteKind};
 use comfreyhall_node::ports::{Action, Order};
 use support::*;
 
-fn adapter_ask(id: &str) -> comfreyhall_domain::Ask {
+fn adapter_ask(id: &str) -> comfreyhall_domain::ClientRequest {
     let mut ask = ask(id);
     ask.adapter = Some(AdapterRef {
         model: "m".into(),
         adapter: Some("a1".into()),
     });
-    ask.left_ms = Some(8_000);
+    ask.remaining_ms = Some(8_000);
     ask
 }
 
 #[tokio::test]
 async fn serve_loads_adapter_first() {
-    let route = route(Kind::Stream, 1, false);
+    let route = route(RouteKind::Stream, 1, false);
     let acts = vec![Act::Stream(vec![1], true)];
     let (node, script, _) = world(route, Some(engine()), acts).await;
     script.loads.store(true, Ordering::SeqCst);
@@ -37,7 +37,7 @@
 /// not looked at again after the wait.
 #[tokio::test]
 async fn serve_target_left_while_waiting() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
     let (node, script, world) = world(long, Some(engine()), Vec::new()).await;
     *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
@@ -59,9 +59,9 @@
 /// report, which is waited for a quarter of a second, before the next order.
 #[tokio::test]
 async fn serve_unanswered_order_given_again() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 4_000;
+    long.objective_ms = 4_000;
     let acts = vec![Act::Stream(vec![1], true)];
     let (node, script, _) = world(long, Some(engine()), acts).await;
     script.loads.store(true, Ordering::SeqCst);
@@ -93,7 +93,7 @@
     out
 }
 
-fn ask_for(id: &str, adapter: &str) -> comfreyhall_domain::Ask {
+fn ask_for(id: &str, adapter: &str) -> comfreyhall_domain::ClientRequest {
     let mut ask = adapter_ask(id);
     ask.adapter.as_mut().unwrap().adapter = Some(adapter.into());
     ask
@@ -105,9 +105,9 @@
 /// the wait for a place and the wait for a load had one limit.
 #[tokio::test]
 async fn serve_load_outlasts_wait_for_place() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 4_000;
+    long.objective_ms = 4_000;
     let (node, script, _) = world(long, Some(engine()), Vec::new()).await;
     *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
     let call = tokio::spawn(async move { got(node.serve(ask_for("q", "a1")).await).await });
@@ -126,9 +126,9 @@
 /// Cause: a request waited at the engine it had chosen.
 #[tokio::test]
 async fn serve_takes_place_that_falls_free() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 8_000;
+    long.objective_ms = 8_000;
     let acts = vec![Act::Mute, Act::Mute, Act::Stream(vec![1], true)];
     let (node, script, _) = world(long, Some(engine()), acts).await;
     script.loads.store(true, Ordering::SeqCst);
--- a/crates/comfreyhall-node/tests/quarantine.rs
+++ b/crates/comfreyhall-node/tests/quarantine.rs
@@ -8,7 +8,7 @@
 };
 
 use bytes::Bytes;
-use comfreyhall_domain::{Ask, Kind, Name};
+use comfreyhall_domain::{ClientRequest, Name, RouteKind};
 use comfreyhall_node::Node;
 use support::*;
 
@@ -17,8 +17,8 @@
 const PATIENT_MS: u64 = 60_000;
 
 /// A daemon before five targets.
-async fn daemon(kind: Kind, attempts: u32) -> (Arc<Node>, Arc<Script>, Arc<World>) {
-    let mut route = route(kind, attempts, kind == Kind::Stream);
+async fn daemon(kind: RouteKind, attempts: u32) -> (Arc<Node>, Arc<Script>, Arc<World>) {
+    let mut route = route(kind, attempts, kind == RouteKind::Stream);
     route.timeout_ms = PATIENT_MS;
     let mut world = scenery(route, None);
     let plain = Arc::get_mut(&mut world).unwrap();
@@ -42,14 +42,14 @@
 }
 
 /// The same request with an id of its own.
-fn deadly(id: &str) -> Ask {
+fn deadly(id: &str) -> ClientRequest {
     let mut ask = keyed(id, "key of a");
-    ask.left_ms = Some(PATIENT_MS);
-    ask.message.body = Bytes::from_static(b"deadly");
+    ask.remaining_ms = Some(PATIENT_MS);
+    ask.forwarded.body = Bytes::from_static(b"deadly");
     ask
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> Got {
+async fn serve(node: &Arc<Node>, ask: ClientRequest) -> Got {
     got(node.serve(ask).await).await
 }
 
@@ -89,7 +89,11 @@
 
 #[tokio::test]
 async fn serve_deadly_held_after_three_targets() {
-    for (kind, attempts) in [(Kind::Safe, 2), (Kind::Unsafe, 1), (Kind::Stream, 2)] {
+    for (kind, attempts) in [
+        (RouteKind::Idempotent, 2),
+        (RouteKind::NonIdempotent, 1),
+        (RouteKind::Stream, 2),
+    ] {
         let (node, script, _) = daemon(kind, attempts).await;
         always(&script, Act::Ends);
         assert_eq!(until_held(&node, &script).await, 3, "{kind:?}");
@@ -103,7 +107,7 @@
 /// An attempt that ended a target itself is not told that it has not run.
 #[tokio::test]
 async fn serve_deadly_attempt_may_have_run() {
-    let (node, script, _) = daemon(Kind::Safe, 4).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 4).await;
     always(&script, Act::Ends);
     assert_eq!(serve(&node, deadly("q")).await, Got::Quarantined(true));
     assert_eq!(script.seen.lock().unwrap().len(), 3);
@@ -114,22 +118,22 @@
 /// another by a header of its own.
 #[tokio::test]
 async fn serve_same_body_of_others_is_free() {
-    let (node, script, _) = daemon(Kind::Safe, 2).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Act::Ends);
     until_held(&node, &script).await;
     always(&script, Act::Answer(200, 0));
     let mut other = deadly("q");
     other.key = keyed("q", "key of b").key;
     let mut path = deadly("q");
-    path.message.path = "/y".into();
+    path.forwarded.path = "/y".into();
     let mut body = deadly("q");
-    body.message.body = Bytes::from_static(b"another");
+    body.forwarded.body = Bytes::from_static(b"another");
     for ask in [other, path, body] {
         assert_eq!(serve(&node, ask).await, Got::Whole(200));
     }
     assert_eq!(serve(&node, deadly("q")).await, Got::Quarantined(false));
     let mut header = deadly("q");
-    let headers = &mut header.message.headers;
+    let headers = &mut header.forwarded.headers;
     headers.insert(http::header::AUTHORIZATION, "Bearer other".parse().unwrap());
     assert_eq!(serve(&node, header).await, Got::Quarantined(false));
 }
@@ -139,7 +143,7 @@
 /// taken for a target that ended.
 #[tokio::test]
 async fn serve_closed_by_living_target_is_free() {
-    let (node, script, _) = daemon(Kind::Safe, 2).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Act::Closes);
     for i in 0..6 {
         assert_eq!(serve(&node, deadly(&format!("q{i}"))).await, Got::Unknown);
@@ -152,7 +156,7 @@
 /// that waited there until its time was up did not end them.
 #[tokio::test]
 async fn serve_silent_targets_are_no_evidence() {
-    let (node, script, _) = daemon(Kind::Safe, 2).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Act::Lost);
     for i in 0..6 {
         assert_eq!(serve(&node, deadly(&format!("q{i}"))).await, Got::Unknown);
@@ -166,7 +170,7 @@
 /// Cause: its end was put down to them.
 #[tokio::test]
 async fn serve_leaving_target_is_no_evidence() {
-    let (node, script, world) = daemon(Kind::Safe, 2).await;
+    let (node, script, world) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Act::Answer(200, 400));
     let mut calls = Vec::new();
     for i in 0..6 {
@@ -190,7 +194,7 @@
 
 #[tokio::test]
 async fn serve_ran_whole_clears() {
-    let (node, script, _) = daemon(Kind::Safe, 1).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 1).await;
     *script.acts.lock().unwrap() = vec![Act::Ends, Act::Ends, Act::Answer(200, 0)];
     for want in [Got::Unknown, Got::Unknown, Got::Whole(200)] {
         assert_eq!(serve(&node, deadly("q")).await, want);
@@ -205,7 +209,7 @@
 /// ended that too. Cause: only new attempts were looked at.
 #[tokio::test]
 async fn serve_deadly_stream_not_resumed() {
-    let (node, script, _) = daemon(Kind::Stream, 5).await;
+    let (node, script, _) = daemon(RouteKind::Stream, 5).await;
     always(&script, Act::Stream(vec![1, 2], false));
     *script.ended.lock().unwrap() = ["a", "b", "c", "d", "e"].map(Into::into).to_vec();
     let first = serve(&node, deadly("q")).await;
@@ -217,7 +221,7 @@
 
 #[tokio::test]
 async fn serve_deadly_is_counted() {
-    let (node, script, _) = daemon(Kind::Safe, 1).await;
+    let (node, script, _) = daemon(RouteKind::Idempotent, 1).await;
     always(&script, Act::Ends);
     until_held(&node, &script).await;
     assert_eq!(counted(&node, r#"quarantine_total{change="suspect""#), 3);
--- a/crates/comfreyhall-node/tests/serve.rs
+++ b/crates/comfreyhall-node/tests/serve.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use comfreyhall_domain::{Kind, Refusal};
+use comfreyhall_domain::{Refusal, RouteKind};
 use support::*;
 
-async fn serve(kind: Kind, attempts: u32, resumable: bool, acts: Vec<Act>) -> (Got, usize) {
+async fn serve(kind: RouteKind, attempts: u32, resumable: bool, acts: Vec<Act>) -> (Got, usize) {
     let (node, script) = serving(route(kind, attempts, resumable), acts).await;
     let reply = node.serve(ask("q")).await;
     let got = got(reply).await;
@@ -17,7 +17,7 @@
 async fn serve_answer_passes() {
     let acts = vec![Act::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (Got::Whole(200), 1)
     );
 }
@@ -28,14 +28,17 @@
 #[tokio::test]
 async fn serve_unsafe_in_doubt_is_unknown() {
     let acts = vec![Act::Lost, Act::Answer(200, 0)];
-    assert_eq!(serve(Kind::Unsafe, 2, false, acts).await, (Got::Unknown, 1));
+    assert_eq!(
+        serve(RouteKind::NonIdempotent, 2, false, acts).await,
+        (Got::Unknown, 1)
+    );
 }
 
 #[tokio::test]
 async fn serve_unsafe_unreached_goes_on() {
     let acts = vec![Act::Unreached, Act::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (Got::Whole(200), 2)
     );
 }
@@ -44,7 +47,7 @@
 async fn serve_unsafe_refused_goes_on() {
     let acts = vec![Act::Refuse(Refusal::Full), Act::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, acts).await,
+        serve(RouteKind::NonIdempotent, 2, false, acts).await,
         (Got::Whole(200), 2)
     );
 }
@@ -56,7 +59,7 @@
 #[tokio::test]
 async fn serve_full_target_not_hammered() {
     let acts = (0..20).map(|_| Act::Refuse(Refusal::Full)).collect();
-    let (got, sends) = serve(Kind::Unsafe, 1, false, acts).await;
+    let (got, sends) = serve(RouteKind::NonIdempotent, 1, false, acts).await;
     assert_eq!(got, Got::NotRun);
     assert!(sends <= 3, "{sends} sends");
 }
@@ -65,7 +68,7 @@
 async fn serve_safe_error_tried_elsewhere() {
     let acts = vec![Act::Answer(500, 0), Act::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(RouteKind::Idempotent, 2, false, acts).await,
         (Got::Whole(200), 2)
     );
 }
@@ -74,7 +77,7 @@
 async fn serve_safe_last_error_passes() {
     let acts = vec![Act::Answer(500, 0), Act::Answer(500, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(RouteKind::Idempotent, 2, false, acts).await,
         (Got::Whole(500), 2)
     );
 }
@@ -86,7 +89,10 @@
 async fn serve_unproved_promise_is_unknown() {
     for status in [429, 503, 408] {
         let acts = vec![Act::Unproved(status)];
-        assert_eq!(serve(Kind::Unsafe, 1, false, acts).await, (Got::Unknown, 1));
+        assert_eq!(
+            serve(RouteKind::NonIdempotent, 1, false, acts).await,
+            (Got::Unknown, 1)
+        );
     }
 }
 
@@ -95,13 +101,16 @@
 #[tokio::test]
 async fn serve_forged_success_never_passes() {
     let acts = vec![Act::Forged];
-    assert_eq!(serve(Kind::Unsafe, 1, false, acts).await, (Got::Unknown, 1));
+    assert_eq!(
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
+        (Got::Unknown, 1)
+    );
 }
 
 #[tokio::test]
 async fn serve_stream_passes() {
     let acts = vec![Act::Stream(vec![1, 2, 3], true)];
-    let got = serve(Kind::Stream, 1, false, acts).await;
+    let got = serve(RouteKind::Stream, 1, false, acts).await;
     assert_eq!(got, (Got::Stream(vec![1, 2, 3], true), 1));
 }
 
@@ -113,7 +122,7 @@
         Act::Stream(vec![1, 2], false),
         Act::Stream(vec![3, 4], true),
     ];
-    let (node, script) = serving(route(Kind::Stream, 2, true), acts).await;
+    let (node, script) = serving(route(RouteKind::Stream, 2, true), acts).await;
     let got = got(node.serve(ask("q")).await).await;
     assert_eq!(got, Got::Stream(vec![1, 2, 3, 4], true));
     let seen = script.seen.lock().unwrap();
@@ -127,7 +136,7 @@
 #[tokio::test]
 async fn serve_stream_not_resumable_breaks_off() {
     let acts = vec![Act::Stream(vec![1, 2], false)];
-    let got = serve(Kind::Stream, 2, false, acts).await;
+    let got = serve(RouteKind::Stream, 2, false, acts).await;
     assert_eq!(got, (Got::Stream(vec![1, 2], false), 1));
 }
 
@@ -140,7 +149,7 @@
         Act::Stream(vec![1, 2], false),
         Act::Stream(vec![4, 5], true),
     ];
-    let got = serve(Kind::Stream, 2, true, acts).await;
+    let got = serve(RouteKind::Stream, 2, true, acts).await;
     assert_eq!(got, (Got::Stream(vec![1, 2], false), 2));
 }
 
@@ -148,7 +157,7 @@
 async fn serve_mute_target_times_out() {
     let acts = vec![Act::Mute];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (Got::TimedOut, 1)
     );
 }
--- a/crates/comfreyhall-node/tests/stop.rs
+++ b/crates/comfreyhall-node/tests/stop.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use comfreyhall_domain::Kind;
+use comfreyhall_domain::RouteKind;
 use comfreyhall_node::leave;
 use support::*;
 
@@ -14,7 +14,7 @@
 /// the process ends. Cause: requests were taken until the very end.
 #[tokio::test]
 async fn leave_refuses_before_it_ends() {
-    let (node, script) = serving(route(Kind::Safe, 1, false), Vec::new()).await;
+    let (node, script) = serving(route(RouteKind::Idempotent, 1, false), Vec::new()).await;
     *script.always.lock().unwrap() = Some(Act::Answer(200, 400));
     let stopping = node.clone();
     let stop = tokio::spawn(async move {
@@ -37,7 +37,7 @@
 /// that may last longer than the stop. Cause: it was taken.
 #[tokio::test]
 async fn leave_takes_no_late_stream() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 15_000;
     let (node, script) = serving(long, Vec::new()).await;
     *script.always.lock().unwrap() = Some(Act::Stream(vec![1], true));
@@ -45,7 +45,7 @@
     let stop = tokio::spawn(async move { leave(&stopping, || {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut long = ask("early");
-    long.left_ms = Some(15_000);
+    long.remaining_ms = Some(15_000);
     let early = got(node.serve(long.clone()).await).await;
     assert_eq!(early, Got::Stream(vec![1], true));
     stop.await.unwrap();
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -100,7 +100,7 @@
     fn send(
         &self,
         target: Arc<Target>,
-        ask: Arc<Ask>,
+        ask: Arc<ClientRequest>,
         extra: Extra,
     ) -> BoxFuture<'static, Result<Response, SendError>> {
         self.seen.lock().unwrap().push(Seen {
@@ -211,8 +211,8 @@
 }
 
 /// A model without adapters.
-pub fn held(model: &str) -> Held {
-    Held {
+pub fn held(model: &str) -> LoadedModel {
+    LoadedModel {
         model: model.into(),
         adapters: Vec::new(),
     }
@@ -319,20 +319,20 @@
     }
 }
 
-pub fn route(kind: Kind, attempts: u32, resumable: bool) -> Route {
+pub fn route(kind: RouteKind, attempts: u32, resumable: bool) -> Route {
     Route {
         name: "r".into(),
         host: "h".into(),
-        prefix: "/".into(),
+        path_prefix: "/".into(),
         kind,
         timeout_ms: 3_000,
-        target_ms: 300,
+        objective_ms: 300,
         priority: 0,
-        shares: vec![Share {
+        shares: vec![TrafficShare {
             service: "s".into(),
             weight: 1,
         }],
-        attempts,
+        max_attempts: attempts,
         resumable,
         public: false,
     }
@@ -342,15 +342,15 @@
     Target {
         id: id.into(),
         name: id.into(),
-        born: 0,
+        started_at_ms: 0,
         service: "s".into(),
         addr: "127.0.0.1:1".into(),
-        domain: "d".into(),
+        failure_domain: "d".into(),
         stage: Stage::Ready,
-        slots: 4,
-        held: Vec::new(),
-        sequence: 0,
-        version: 1,
+        max_running: 4,
+        loaded: Vec::new(),
+        accepted_commands: 0,
+        row_version: 1,
     }
 }
 
@@ -382,13 +382,13 @@
 }
 
 /// A model service whose engines have one place for adapters of model `m`.
-pub fn engine() -> Engine {
-    Engine {
-        slots: 4,
+pub fn engine() -> EngineConfig {
+    EngineConfig {
+        max_running: 4,
         cache_tokens: 1_000,
         weights_mb: 100.0,
-        places: 1,
-        loads_rate: 1.0,
+        adapter_slots: 1,
+        load_rate: 1.0,
         models: vec![Model {
             name: "m".into(),
             weights_mb: 50.0,
@@ -399,14 +399,14 @@
 }
 
 /// A world with `route` and targets `a` and `b`; `engine` makes them engines.
-pub fn scenery(route: Route, engine: Option<Engine>) -> Arc<World> {
+pub fn scenery(route: Route, engine: Option<EngineConfig>) -> Arc<World> {
     let mut targets = vec![target("a"), target("b")];
     if engine.is_some() {
-        targets.iter_mut().for_each(|t| t.held = vec![held("m")]);
+        targets.iter_mut().for_each(|t| t.loaded = vec![held("m")]);
     }
     let service = Service {
         name: "s".into(),
-        connections: 10,
+        max_connections: 10,
         engine,
     };
     Arc::new(World {
@@ -414,11 +414,11 @@
             version: 1,
             routes: vec![route],
             services: [("s".into(), service)].into_iter().collect(),
-            limits: Limits {
+            limits: RequestLimits {
                 header_bytes: 1,
                 body_bytes: 1,
-                header_ms: 1,
-                idle_ms: 1,
+                header_timeout_ms: 1,
+                idle_timeout_ms: 1,
             },
             workspaces: None,
         },
@@ -433,7 +433,7 @@
 /// The same with the world it sees.
 pub async fn world(
     route: Route,
-    engine: Option<Engine>,
+    engine: Option<EngineConfig>,
     acts: Vec<Act>,
 ) -> (Arc<Node>, Arc<Script>, Arc<World>) {
     let source = scenery(route, engine);
@@ -447,17 +447,17 @@
     (node, script, source)
 }
 
-pub fn ask(id: &str) -> Ask {
-    Ask {
+pub fn ask(id: &str) -> ClientRequest {
+    ClientRequest {
         id: id.into(),
         key: None,
         host: "h".into(),
-        left_ms: Some(2_000),
+        remaining_ms: Some(2_000),
         adapter: None,
         tokens: None,
-        parts: Vec::new(),
-        last_event: None,
-        message: Message {
+        prompt_segments: Vec::new(),
+        last_event_id: None,
+        forwarded: ForwardedRequest {
             method: Method::GET,
             path: "/x".into(),
             headers: HeaderMap::new(),
@@ -530,8 +530,8 @@
     read(hasher(), names.iter().map(|n| entry(n)).collect()).0
 }
 
-pub fn keyed(id: &str, key: &str) -> Ask {
-    Ask {
+pub fn keyed(id: &str, key: &str) -> ClientRequest {
+    ClientRequest {
         key: Some(PresentedKey::new(key.as_bytes())),
         ..ask(id)
     }
--- a/crates/comfreyhall-routing/src/pick.rs
+++ b/crates/comfreyhall-routing/src/pick.rs
@@ -8,7 +8,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use comfreyhall_domain::{Name, Part};
+use comfreyhall_domain::{Name, PromptSegment};
 use rustc_hash::FxHasher;
 
 /// What a target in another failure domain costs, in ms: bytes between
@@ -117,7 +117,7 @@
 /// anew, which takes 160 ms of an engine's time for 6,300 tokens.
 pub fn reader<'a>(
     adapter: &str,
-    parts: &[Part],
+    parts: &[PromptSegment],
     holders: impl Iterator<Item = &'a Name>,
 ) -> Option<&'a Name> {
     // The last part is the request's own.
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -11,7 +11,7 @@
     hash::{Hash, Hasher},
 };
 
-use comfreyhall_domain::{AdapterRef, Map, Name, Part};
+use comfreyhall_domain::{AdapterRef, Map, Name, PromptSegment};
 use rustc_hash::FxHasher;
 
 /// Parts remembered. Beyond it the oldest goes: targets of the deployments
@@ -26,7 +26,7 @@
 }
 
 /// Keys of each chain of first parts, with their tokens.
-fn chains(adapter: &AdapterRef, parts: &[Part]) -> impl Iterator<Item = (u64, u32)> {
+fn chains(adapter: &AdapterRef, parts: &[PromptSegment]) -> impl Iterator<Item = (u64, u32)> {
     let mut hash = FxHasher::default();
     adapter.hash(&mut hash);
     parts.iter().map(move |p| {
@@ -37,7 +37,7 @@
 
 impl Prefixes {
     /// Tokens of `parts` that `target` need not read again.
-    pub fn kept(&self, adapter: &AdapterRef, parts: &[Part], target: &Name) -> u64 {
+    pub fn kept(&self, adapter: &AdapterRef, parts: &[PromptSegment], target: &Name) -> u64 {
         chains(adapter, parts)
             .take_while(|(key, _)| self.read.contains_key(&(*key, target.clone())))
             .map(|(_, tokens)| u64::from(tokens))
@@ -45,7 +45,7 @@
     }
 
     /// `target` has read `parts`.
-    pub fn note(&mut self, adapter: &AdapterRef, parts: &[Part], target: &Name, now: u64) {
+    pub fn note(&mut self, adapter: &AdapterRef, parts: &[PromptSegment], target: &Name, now: u64) {
         for (key, _) in chains(adapter, parts) {
             let key = (key, target.clone());
             if self.read.insert(key.clone(), now).is_none() {
--- a/crates/comfreyhall-routing/src/residency.rs
+++ b/crates/comfreyhall-routing/src/residency.rs
@@ -77,7 +77,7 @@
             let forgotten = absent && now.saturating_sub(next.held) >= RECENT_MS;
             self.put(&adapter, &target.id, (!forgotten).then_some(next));
         }
-        for held in &target.held {
+        for held in &target.loaded {
             for (name, version) in &held.adapters {
                 let adapter = AdapterRef {
                     model: held.model.clone(),
--- a/crates/comfreyhall-routing/src/tests.rs
+++ b/crates/comfreyhall-routing/src/tests.rs
@@ -1,4 +1,4 @@
-use comfreyhall_domain::{AdapterRef, Map, Name, Part};
+use comfreyhall_domain::{AdapterRef, Map, Name, PromptSegment};
 
 use crate::{
     pick::{Choice, Spread},
@@ -67,7 +67,7 @@
 #[test]
 fn reader_one_engine_reads_each_prompt() {
     let holders = [name("e1"), name("e2")];
-    let parts = |i: u64| [i % 34, 1_000 + i].map(|id| Part { id, tokens: 6_300 });
+    let parts = |i: u64| [i % 34, 1_000 + i].map(|id| PromptSegment { id, tokens: 6_300 });
     let reads = |to: &dyn Fn(u64) -> Name| {
         let read: std::collections::HashSet<(u64, Name)> =
             (0..600).map(|i| (i % 34, to(i))).collect();
@@ -250,7 +250,7 @@
 #[test]
 fn kept_counts_unbroken_chain() {
     let mut p = Prefixes::default();
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptSegment { id, tokens };
     let t = name("t");
     p.note(&adapter(), &[part(1, 300), part(2, 200)], &t, 0);
     let same = [part(1, 300), part(2, 200), part(9, 50)];
@@ -287,15 +287,15 @@
     let list = comfreyhall_domain::Target {
         id: t.clone(),
         name: t.clone(),
-        born: 0,
+        started_at_ms: 0,
         service: "s".into(),
         addr: "a".into(),
-        domain: "d".into(),
+        failure_domain: "d".into(),
         stage: comfreyhall_domain::Stage::Ready,
-        slots: 1,
-        held: Vec::new(),
-        sequence: 0,
-        version: 0,
+        max_running: 1,
+        loaded: Vec::new(),
+        accepted_commands: 0,
+        row_version: 0,
     };
     r.publish(&list, 1_500);
     assert_eq!(r.version(&adapter(), &t), Some(2));
