--- a/crates/comfreyhall-domain/src/config.rs
+++ b/crates/comfreyhall-domain/src/config.rs
@@ -189,7 +189,7 @@
         let Some(workspaces) = self.workspaces.as_ref().filter(|_| !route.public) else {
             return Some(Caller::Anonymous);
         };
-        let workspace = workspaces.of(key?)?;
+        let workspace = workspaces.find_by_key(key?)?;
         Some(Caller::Workspace(workspace.clone()))
     }
 
--- a/crates/comfreyhall-domain/src/lib.rs
+++ b/crates/comfreyhall-domain/src/lib.rs
@@ -15,8 +15,8 @@
 pub use ask::{AdapterRef, ClientRequest, ForwardedRequest, PromptSegment, TokenCounts};
 pub use comfreyhall_protocol::{Map, Set};
 pub use comfreyhall_workspace::{
-    Allowance, Cap, Entry, Given, GivenUnit, KeyHash, KeyHasher, PresentedKey, Salt, Unit,
-    Workspace, Workspaces, read,
+    Allowance, KeyHash, KeyHasher, PresentedKey, Quota, QuotaUnit, RawNumber, RawUnit, Salt,
+    Workspace, WorkspaceEntry, Workspaces, read_entries,
 };
 pub use config::{
     Caller, Config, EngineConfig, Model, RequestLimits, Route, RouteKind, Service, TrafficShare,
--- a/crates/comfreyhall-domain/src/tests.rs
+++ b/crates/comfreyhall-domain/src/tests.rs
@@ -85,14 +85,14 @@
 }
 
 fn workspaces() -> comfreyhall_workspace::Workspaces {
-    use comfreyhall_workspace::{Entry, KeyHasher, Salt, read};
+    use comfreyhall_workspace::{KeyHasher, Salt, WorkspaceEntry, read_entries};
     let hasher = KeyHasher::new(Salt::new([1; 32]));
-    let entry = Entry {
+    let entry = WorkspaceEntry {
         name: "w".to_string(),
         keys: vec![hasher.hash(b"k1")],
-        ..Entry::default()
+        ..WorkspaceEntry::default()
     };
-    read(hasher, vec![entry]).0
+    read_entries(hasher, vec![entry]).0
 }
 
 #[test]
--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -18,7 +18,8 @@
 use comfreyhall_domain::{Config, Map, Name};
 use comfreyhall_settings::CapWay;
 use comfreyhall_workspace::{
-    Basis, Granting, Home, Kept, Lending, Meter, Sharing, Taken, Tolerance,
+    GrantingLimiter, LendingLimiter, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter,
+    ReserveOutcome, SharingLimiter, Tolerance,
 };
 use tokio::sync::Notify;
 
@@ -65,12 +66,12 @@
 
 #[derive(Default)]
 struct State {
-    meter: Option<Box<dyn Meter>>,
+    meter: Option<Box<dyn RateLimiter>>,
     /// The configuration that the meter has, and over which groups it is spread.
     version: u64,
     groups: Vec<Name>,
     /// Limits that the meter of targets has.
-    limits: Map<Name, Kept>,
+    limits: Map<Name, PlacedQuota>,
 }
 
 /// Why a request gets no credit.
@@ -121,27 +122,30 @@
     pub(crate) fn closed_ms(&self, name: &str, now: u64) -> u64 {
         let state = self.state();
         let meter = state.meter.as_ref();
-        meter.map_or(0, |m| m.closed_ms(name, 1, now))
+        meter.map_or(0, |m| m.retry_after_ms(name, 1, now))
     }
 
     /// Whether more of `name` could be used than is, as far as is known here.
     pub(crate) fn spare(&self, name: &str, now: u64) -> bool {
         let state = self.state();
-        state.meter.as_ref().is_some_and(|m| m.spare(name, now))
+        state
+            .meter
+            .as_ref()
+            .is_some_and(|m| m.has_surplus(name, now))
     }
 
     /// Takes a unit of `name` if it is to be had here and now.
     pub(crate) fn take_here(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
-        let taken = state.meter.as_mut().map(|m| m.take(name, 1, now));
-        taken == Some(Taken::Granted)
+        let taken = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
+        taken == Some(ReserveOutcome::Granted)
     }
 
     /// What a refusal by the cap of `name` rests on.
-    pub(crate) fn basis(&self, name: &str, now: u64) -> Basis {
+    pub(crate) fn basis(&self, name: &str, now: u64) -> QuotaSnapshot {
         let state = self.state();
         let meter = state.meter.as_ref();
-        meter.map_or_else(Basis::default, |m| m.basis(name, now))
+        meter.map_or_else(QuotaSnapshot::default, |m| m.snapshot(name, now))
     }
 }
 
@@ -175,9 +179,9 @@
     }
     let meter = state.meter.get_or_insert_with(|| {
         let me = me(node);
-        Box::new(Granting::new(me))
+        Box::new(GrantingLimiter::new(me))
     });
-    meter.keep(limits.clone(), &groups, now);
+    meter.set_quotas(limits.clone(), &groups, now);
     state.limits = limits;
     state.groups = groups;
     meet(node, Of::Targets, &mut state);
@@ -208,19 +212,19 @@
 fn meet(node: &Node, of: Of, state: &mut State) {
     let met = settle::homes(node, of, &state.groups);
     if let Some(meter) = &mut state.meter {
-        meter.meet(&met.homes, met.fleet, node.now());
+        meter.update_fleet(&met.homes, met.fleet, node.now());
     }
 }
 
 /// This process, as a home.
-fn me(node: &Node) -> Home {
-    Home {
-        peer: node.fleet.peer().into(),
+fn me(node: &Node) -> PeerProcess {
+    PeerProcess {
+        peer_addr: node.fleet.peer().into(),
         boot: node.fleet.boot(),
     }
 }
 
-fn meter(node: &Node) -> Box<dyn Meter> {
+fn meter(node: &Node) -> Box<dyn RateLimiter> {
     let settings = node.settings();
     let tolerance = Tolerance {
         window_ms: (settings.caps.window_s * 1_000.0) as u64,
@@ -229,8 +233,8 @@
     };
     let me = me(node);
     match settings.caps.way {
-        CapWay::Lending => Box::new(Lending::new(me, tolerance, clock::now())),
-        CapWay::Sharing => Box::new(Sharing::new(me, tolerance)),
+        CapWay::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
+        CapWay::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
     }
 }
 
@@ -244,30 +248,30 @@
     let caps = node.caps_of(of);
     let began = node.now();
     if let Some(meter) = &mut caps.state().meter {
-        meter.ask(name, size, began);
+        meter.record_demand(name, size, began);
     }
     let until = began + of.answer_ms();
     loop {
         let now = node.now();
         let taken = match &mut caps.state().meter {
-            Some(meter) => meter.take(name, size, now),
-            None => Taken::Unsure {
+            Some(meter) => meter.try_reserve(name, size, now),
+            None => ReserveOutcome::UsageUnknown {
                 retry_ms: of.answer_ms(),
             },
         };
         match taken {
-            Taken::Granted => return Ok(Credit::new(node, of, name, size)),
-            Taken::Over { retry_ms } => return Err(Refused::Over { retry_ms }),
-            Taken::Ask(call) => {
+            ReserveOutcome::Granted => return Ok(Credit::new(node, of, name, size)),
+            ReserveOutcome::OverQuota { retry_ms } => return Err(Refused::Over { retry_ms }),
+            ReserveOutcome::Pending(call) => {
                 if !answered(node, of, name, call, until).await {
                     return Err(Refused::Unsure { retry_ms: LOOK_MS });
                 }
             }
-            Taken::Unsure { retry_ms } if now + retry_ms <= until && now < until => {
+            ReserveOutcome::UsageUnknown { retry_ms } if now + retry_ms <= until && now < until => {
                 let pause = LOOK_MS.min(until - now);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
-            Taken::Unsure { retry_ms } => return Err(Refused::Unsure { retry_ms }),
+            ReserveOutcome::UsageUnknown { retry_ms } => return Err(Refused::Unsure { retry_ms }),
         }
     }
 }
@@ -282,8 +286,8 @@
         settled.as_mut().enable();
         let done = match &caps.state().meter {
             Some(meter) => {
-                let group = meter.group(name);
-                group.is_none_or(|g| meter.answered(&g) >= call)
+                let group = meter.quota_group(name);
+                group.is_none_or(|g| meter.last_answered(&g) >= call)
             }
             None => true,
         };
@@ -326,19 +330,19 @@
     /// The request is about to be sent. Its own repeats cost no more.
     pub(crate) fn sent(&mut self) {
         if !std::mem::replace(&mut self.sent, true) {
-            self.with(|meter, name, size| meter.sent(name, size));
+            self.with(|meter, name, size| meter.mark_sent(name, size));
         }
     }
 
     /// The request has surely not run and is not sent any more.
     pub(crate) fn give_back(mut self) {
         if std::mem::replace(&mut self.sent, false) {
-            self.with(|meter, name, size| meter.not_run(name, size));
+            self.with(|meter, name, size| meter.refund(name, size));
             self.size = 0;
         }
     }
 
-    fn with(&self, act: impl FnOnce(&mut dyn Meter, &str, u64)) {
+    fn with(&self, act: impl FnOnce(&mut dyn RateLimiter, &str, u64)) {
         if let Some(meter) = &mut self.node.caps_of(self.of).state().meter {
             act(meter.as_mut(), &self.name, self.size);
         }
@@ -348,7 +352,7 @@
 impl Drop for Credit {
     fn drop(&mut self) {
         if !self.sent && self.size > 0 {
-            self.with(|meter, name, size| meter.unsent(name, size));
+            self.with(|meter, name, size| meter.release_unsent(name, size));
         }
     }
 }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{Map, Name};
-use comfreyhall_workspace::{Call, Fleet, Home};
+use comfreyhall_workspace::{FleetView, PeerProcess, SettleRequest};
 
 use super::{Caps, Of, me, refresh, wire};
 use crate::{leases, node::Node, outbound};
@@ -42,8 +42,8 @@
 
 /// Who is there, as the meter is told.
 pub(super) struct Met {
-    pub(super) homes: Map<Name, Home>,
-    pub(super) fleet: Fleet,
+    pub(super) homes: Map<Name, PeerProcess>,
+    pub(super) fleet: FleetView,
 }
 
 fn meet(node: &Node, caps: &Caps) {
@@ -51,7 +51,7 @@
     let met = homes(node, caps.of, &groups);
     let now = node.now();
     if let Some(meter) = &mut caps.state().meter {
-        meter.meet(&met.homes, met.fleet, now);
+        meter.update_fleet(&met.homes, met.fleet, now);
     }
 }
 
@@ -76,7 +76,10 @@
                 return Some(me(node));
             }
             let boot = node.fleet.boot_of(&peer)?;
-            Some(Home { peer, boot })
+            Some(PeerProcess {
+                peer_addr: peer,
+                boot,
+            })
         }
     };
     let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
@@ -85,9 +88,9 @@
     let stale = node.view().book.in_force.age(now) > STALE_MS;
     Met {
         homes,
-        fleet: Fleet {
+        fleet: FleetView {
             members: members.unwrap_or(0),
-            certain: members.is_some(),
+            confirmed: members.is_some(),
             stale,
         },
     }
@@ -96,14 +99,14 @@
 /// Calls the homes that are due.
 pub(super) fn settle_due(node: &Arc<Node>, of: Of) {
     let now = node.now();
-    let calls: Vec<(Name, Home, Call)> = {
+    let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
         let mut state = node.caps_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
-        let due = meter.due(now).into_iter();
+        let due = meter.due_settlements(now).into_iter();
         let calls = due.map(|(group, home)| {
-            let call = meter.call(&group, &home, now);
+            let call = meter.settle_request(&group, &home, now);
             (group, home, call)
         });
         calls.collect()
@@ -125,13 +128,13 @@
         let Some(meter) = &mut state.meter else {
             return;
         };
-        meter.call(&group, &home, now)
+        meter.settle_request(&group, &home, now)
     };
     tokio::spawn(settle(node.clone(), of, group, home, call));
 }
 
-async fn settle(node: Arc<Node>, of: Of, group: Name, home: Home, call: Call) {
-    let reply = match node.fleet.client(&home.peer) {
+async fn settle(node: Arc<Node>, of: Of, group: Name, home: PeerProcess, call: SettleRequest) {
+    let reply = match node.fleet.client(&home.peer_addr) {
         Some(mut client) => {
             let answer = client.settle(wire::call(&node, of, &call));
             tokio::time::timeout(CALL_TIMEOUT, answer).await
@@ -141,20 +144,20 @@
     let (reply, ended) = match reply {
         Ok(Ok(reply)) => (Some(wire::from_reply(&node, reply.into_inner())), false),
         Ok(Err(status)) => {
-            log::debug!(target: "caps", peer:% = home.peer, group:%, error:% = status.message(); "home not reached");
+            log::debug!(target: "caps", peer:% = home.peer_addr, group:%, error:% = status.message(); "home not reached");
             (None, refused(&status))
         }
         Err(_) => {
-            log::debug!(target: "caps", peer:% = home.peer, group:%; "home silent");
+            log::debug!(target: "caps", peer:% = home.peer_addr, group:%; "home silent");
             (None, false)
         }
     };
     let now = node.now();
     let caps = node.caps_of(of);
     if let Some(meter) = &mut caps.state().meter {
-        meter.heard(&group, &home, reply.as_ref(), now);
+        meter.handle_reply(&group, &home, reply.as_ref(), now);
         if ended {
-            meter.ended(&home);
+            meter.process_ended(&home);
         }
     }
     caps.settled.notify_waiters();
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use comfreyhall_protocol::{CapCall, CapLine, CapReply, CapSettled, CapsOf};
-use comfreyhall_workspace::{Call, Line, Reply, Settled};
+use comfreyhall_workspace::{GrantLine, SettleReply, SettleRequest, UsageLine};
 
 use super::Of;
 use crate::{node::Node, outbound};
@@ -17,15 +17,15 @@
 
 /// A call about caps `of` workspaces or targets. One about targets bears what
 /// they told this daemon.
-pub(super) fn call(node: &Node, of: Of, call: &Call) -> CapCall {
+pub(super) fn call(node: &Node, of: Of, call: &SettleRequest) -> CapCall {
     let lines = call.lines.iter().map(|l| CapLine {
         workspace: l.workspace.clone(),
-        held: l.held,
+        held: l.balance,
         reserved: l.reserved,
         returned: l.returned,
         need: l.need,
-        least: l.least,
-        want: l.want,
+        least: l.min_need,
+        want: l.prefetch,
         demand: l.demand,
     });
     CapCall {
@@ -49,18 +49,18 @@
     }
 }
 
-fn from_call(call: CapCall) -> Call {
-    let lines = call.lines.into_iter().map(|l| Line {
+fn from_call(call: CapCall) -> SettleRequest {
+    let lines = call.lines.into_iter().map(|l| UsageLine {
         workspace: l.workspace,
-        held: units(l.held),
+        balance: units(l.held),
         reserved: units(l.reserved),
         returned: units(l.returned),
         need: units(l.need),
-        least: units(l.least),
-        want: units(l.want),
+        min_need: units(l.least),
+        prefetch: units(l.want),
         demand: units(l.demand),
     });
-    Call {
+    SettleRequest {
         from: call.from,
         boot: call.boot,
         serial: call.serial,
@@ -77,18 +77,18 @@
     if told.is_finite() { told.max(0.0) } else { 0.0 }
 }
 
-fn reply(node: &Node, of: Of, group: &str, reply: Reply) -> CapReply {
+fn reply(node: &Node, of: Of, group: &str, reply: SettleReply) -> CapReply {
     let lines = reply.lines.into_iter().map(|l| CapSettled {
         workspace: l.workspace,
         grant: l.grant,
         retry_ms: l.retry_ms,
-        others: l.others,
+        others: l.other_demand,
         lent: l.lent,
     });
     CapReply {
         boot: reply.boot,
-        clock: reply.clock,
-        part: reply.part,
+        clock: reply.clock_ms,
+        part: reply.lendable_share,
         lines: lines.collect(),
         words: match of {
             Of::Workspaces => Vec::new(),
@@ -97,19 +97,19 @@
     }
 }
 
-pub(super) fn from_reply(node: &Node, reply: CapReply) -> Reply {
+pub(super) fn from_reply(node: &Node, reply: CapReply) -> SettleReply {
     outbound::learn(node, &reply.words, "home");
-    let lines = reply.lines.into_iter().map(|l| Settled {
+    let lines = reply.lines.into_iter().map(|l| GrantLine {
         workspace: l.workspace,
         grant: units(l.grant),
         retry_ms: l.retry_ms,
-        others: units(l.others),
+        other_demand: units(l.others),
         lent: units(l.lent),
     });
-    Reply {
+    SettleReply {
         boot: reply.boot,
-        clock: reply.clock,
-        part: units(reply.part),
+        clock_ms: reply.clock,
+        lendable_share: units(reply.part),
         lines: lines.collect(),
     }
 }
@@ -123,11 +123,11 @@
     let now = node.now();
     let met = node.fleet.met(&call.from).unwrap_or(now);
     let answered = match &mut node.caps_of(of).state().meter {
-        Some(meter) => meter.answer(&call, met, now),
-        None => Reply {
+        Some(meter) => meter.handle_settle(&call, met, now),
+        None => SettleReply {
             boot: node.fleet.boot(),
-            clock: now,
-            ..Reply::default()
+            clock_ms: now,
+            ..SettleReply::default()
         },
     };
     reply(node, of, &call.group, answered)
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 use comfreyhall_backpressure::{Rate, Word};
-use comfreyhall_domain::{Cap, Map, Name, Target, Unit};
+use comfreyhall_domain::{Map, Name, Quota, QuotaUnit, Target};
 use comfreyhall_protocol::TargetWord;
-use comfreyhall_workspace::{Kept, home_group};
+use comfreyhall_workspace::{PlacedQuota, coordinator_group};
 
 use super::{log, shut::closed};
 use crate::{
@@ -23,7 +23,7 @@
 const TELL_MS: u64 = 10_000;
 
 /// The limits in force, and which group's home keeps each.
-pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, Kept> {
+pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, PlacedQuota> {
     let gates = node.outbound.gates();
     if gates.is_empty() {
         return Map::default();
@@ -33,12 +33,12 @@
     let groups = caps::groups(node);
     let kept = limited.into_iter().filter_map(|(target, rate)| {
         let group = group_of(node, &target, &groups)?;
-        let cap = Cap {
-            unit: Unit::Requests,
+        let cap = Quota {
+            unit: QuotaUnit::Requests,
             rate: rate.per_s(),
             burst: 0.0,
         };
-        Some((target, Kept { cap, group }))
+        Some((target, PlacedQuota { quota: cap, group }))
     });
     kept.collect()
 }
@@ -48,7 +48,9 @@
 fn group_of(node: &Node, target: &Name, groups: &[Name]) -> Option<Name> {
     let known = node.view().targets.get(target).cloned();
     let domain = known.and_then(|t| groups.iter().find(|g| **g == t.failure_domain));
-    domain.or_else(|| home_group(target, groups)).cloned()
+    domain
+        .or_else(|| coordinator_group(target, groups))
+        .cloned()
 }
 
 /// Takes a part of the limit of `target`, if it has one.
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -125,7 +125,7 @@
         let workspace = self.caller.workspace()?.clone();
         let cap = match workspace.allowance {
             Allowance::Unlimited => return None,
-            Allowance::Closed => {
+            Allowance::Denied => {
                 return Some(self.refuse_credit(
                     0,
                     Refused::Over {
@@ -133,11 +133,11 @@
                     },
                 ));
             }
-            Allowance::Capped(cap) => cap,
+            Allowance::Limited(cap) => cap,
         };
         let tokens = self.ask.tokens;
         let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
-        let size = cap.size(tokens);
+        let size = cap.cost(tokens);
         self.node.caps.catch_up(&self.node, config);
         match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
@@ -167,10 +167,10 @@
         self.node.metrics.request(self.route.kind, answer.name());
         if let Some(left_out) = self.node.flood.capped.take(now) {
             let basis = self.node.caps.basis(&workspace, now);
-            let home = basis.home.as_deref().unwrap_or("");
+            let home = basis.coordinator.as_deref().unwrap_or("");
             // Whole units a second, and per cent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
-            let (held, lends) = (basis.held as u64, (basis.part * 100.0) as u64);
+            let (held, lends) = (basis.balance as u64, (basis.lendable_share * 100.0) as u64);
             log::info!(target: "caps", id:% = self.ask.id, route:% = self.route.name, workspace, size, why = reason, cap, lent, lends, home, age = basis.age_ms, held, demand, retry_ms, left_out; "refused");
         }
         Reply::Unanswered(answer)
--- a/crates/comfreyhall-node/tests/caller.rs
+++ b/crates/comfreyhall-node/tests/caller.rs
@@ -8,7 +8,8 @@
 };
 
 use comfreyhall_domain::{
-    ClientRequest, Config, Entry, Given, GivenUnit, Route, RouteKind, Workspaces, read,
+    ClientRequest, Config, RawNumber, RawUnit, Route, RouteKind, WorkspaceEntry, Workspaces,
+    read_entries,
 };
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_node::Node;
@@ -182,13 +183,13 @@
 
 /// A workspace with a cap of `rate` requests a second and as many at once.
 fn capped(rate: f64) -> Workspaces {
-    let a = Entry {
-        unit: GivenUnit::Requests,
-        rate: Given::Number(rate),
-        burst: Given::Number(rate),
+    let a = WorkspaceEntry {
+        unit: RawUnit::Requests,
+        rate: RawNumber::Number(rate),
+        burst: RawNumber::Number(rate),
         ..entry("a")
     };
-    read(hasher(), vec![a, entry("b")]).0
+    read_entries(hasher(), vec![a, entry("b")]).0
 }
 
 /// Guards against a workspace that uses more than its cap, and against one over
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -517,17 +517,17 @@
 }
 
 /// The workspace `name`, without a cap, whose key is `key of NAME`.
-pub fn entry(name: &str) -> Entry {
-    Entry {
+pub fn entry(name: &str) -> WorkspaceEntry {
+    WorkspaceEntry {
         name: name.to_string(),
         keys: vec![hasher().hash(format!("key of {name}").as_bytes())],
-        ..Entry::default()
+        ..WorkspaceEntry::default()
     }
 }
 
 /// Workspaces without caps.
 pub fn workspaces(names: &[&str]) -> Workspaces {
-    read(hasher(), names.iter().map(|n| entry(n)).collect()).0
+    read_entries(hasher(), names.iter().map(|n| entry(n)).collect()).0
 }
 
 pub fn keyed(id: &str, key: &str) -> ClientRequest {
--- a/crates/comfreyhall-workspace/src/cap.rs
+++ b/crates/comfreyhall-workspace/src/cap.rs
@@ -2,34 +2,39 @@
 
 /// What a cap counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Unit {
+pub enum QuotaUnit {
     /// Requests.
     Requests,
     /// Tokens, prompt and output together.
     Tokens {
         /// What a request that does not say its size counts as.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
 /// A bound on use: so much a second, and so much more at once.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Cap {
+pub struct Quota {
     /// What it counts.
-    pub unit: Unit,
+    pub unit: QuotaUnit,
     /// Units a second.
     pub rate: f64,
     /// Units beyond the rate that may be used at once.
     pub burst: f64,
 }
 
-impl Cap {
+impl Quota {
     /// How much a request with `tokens`, prompt and output together, counts.
-    pub fn size(&self, tokens: Option<u64>) -> u64 {
+    pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match (self.unit, tokens) {
-            (Unit::Requests, _) => 1,
-            (Unit::Tokens { .. }, Some(tokens)) => tokens,
-            (Unit::Tokens { plain }, None) => plain,
+            (QuotaUnit::Requests, _) => 1,
+            (QuotaUnit::Tokens { .. }, Some(tokens)) => tokens,
+            (
+                QuotaUnit::Tokens {
+                    default_tokens: plain,
+                },
+                None,
+            ) => plain,
         }
     }
 }
@@ -48,12 +53,12 @@
 
 impl Tolerance {
     /// Units above `cap` in a window.
-    pub fn of(&self, cap: &Cap) -> f64 {
+    pub fn tolerated_excess(&self, cap: &Quota) -> f64 {
         self.overshoot * self.allowed(cap) + self.slack
     }
 
     /// Units that `cap` itself allows in a window.
-    pub fn allowed(&self, cap: &Cap) -> f64 {
+    pub fn allowed(&self, cap: &Quota) -> f64 {
         cap.rate * self.window_ms as f64 / 1_000.0 + cap.burst
     }
 }
--- a/crates/comfreyhall-workspace/src/entry.rs
+++ b/crates/comfreyhall-workspace/src/entry.rs
@@ -11,68 +11,68 @@
 use comfreyhall_protocol::Map;
 use thiserror::Error;
 
-use crate::{Allowance, Cap, KeyHash, KeyHasher, Name, Unit, Workspace, Workspaces};
+use crate::{Allowance, KeyHash, KeyHasher, Name, Quota, QuotaUnit, Workspace, Workspaces};
 
 /// Least urgent rank.
 const LEAST_URGENT: u8 = 9;
 
 /// A number as it was written.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum Given {
+pub enum RawNumber {
     /// Left out.
     #[default]
     Absent,
     /// This number.
     Number(f64),
     /// Something that is no number.
-    Odd,
+    Invalid,
 }
 
 /// A unit as it was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum GivenUnit {
+pub enum RawUnit {
     /// Requests, also if it was left out.
     #[default]
     Requests,
     /// Tokens.
     Tokens,
     /// Something else.
-    Odd,
+    Invalid,
 }
 
 /// One workspace as it was written.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Entry {
+pub struct WorkspaceEntry {
     /// Its name.
     pub name: String,
     /// Its keys.
     pub keys: Vec<KeyHash>,
     /// Keys that are no text.
-    pub odd_keys: usize,
+    pub invalid_keys: usize,
     /// Its rank.
-    pub rank: Given,
+    pub rank: RawNumber,
     /// What its cap counts.
-    pub unit: GivenUnit,
+    pub unit: RawUnit,
     /// What a request without a size counts as.
-    pub plain: Given,
+    pub default_tokens: RawNumber,
     /// Units a second.
-    pub rate: Given,
+    pub rate: RawNumber,
     /// Units more at once.
-    pub burst: Given,
+    pub burst: RawNumber,
 }
 
 /// What is odd about an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Problem {
+pub enum EntryProblem {
     /// It has no name.
     #[error("a workspace has no name, so its keys are refused; give it one")]
-    Nameless,
+    MissingName,
     /// Two entries have one name.
     #[error(
         "workspace {0} is listed twice: the lower cap counts for the keys of both; \
          write one entry"
     )]
-    Twice(String),
+    DuplicateName(String),
     /// A key belongs to two workspaces.
     #[error(
         "workspaces {first} and {second} have a key in common, so it is refused; \
@@ -86,19 +86,19 @@
     },
     /// A key is no text.
     #[error("workspace {0} has a key that is no text, so it is refused; write it as text")]
-    OddKey(String),
+    InvalidKey(String),
     /// The rank is none.
     #[error(
         "the rank of workspace {0} is no whole number from 0 to 9, so it comes last; \
          give one, or leave it out for its routes' own"
     )]
-    OddRank(String),
+    InvalidRank(String),
     /// The rate or the burst is no number of units.
     #[error(
         "the {field} of workspace {name} is no number of 0 or more, so it may use nothing; \
          give one, or leave the rate out for no cap"
     )]
-    OddCap {
+    InvalidQuota {
         /// The workspace.
         name: String,
         /// Which of the two.
@@ -106,17 +106,20 @@
     },
     /// The unit is unknown.
     #[error("the unit of workspace {0} is unknown, so it may use nothing; use requests or tokens")]
-    OddUnit(String),
+    InvalidUnit(String),
     /// What a request without a size counts as is no number.
     #[error(
         "workspace {0} does not say in whole tokens what a request without a size counts as, \
          so each counts as a second of its rate; give a number above 0"
     )]
-    OddPlain(String),
+    InvalidDefault(String),
 }
 
 /// Reads `entries`, whose keys `hasher` has hashed; also what is odd in them.
-pub fn read(hasher: KeyHasher, entries: Vec<Entry>) -> (Workspaces, Vec<Problem>) {
+pub fn read_entries(
+    hasher: KeyHasher,
+    entries: Vec<WorkspaceEntry>,
+) -> (Workspaces, Vec<EntryProblem>) {
     let mut reading = Reading::default();
     for entry in entries {
         reading.take(entry);
@@ -132,17 +135,18 @@
     places: Map<Name, usize>,
     /// Whose each key is; `None` for a key of two.
     keys: Map<KeyHash, Option<usize>>,
-    problems: Vec<Problem>,
+    problems: Vec<EntryProblem>,
 }
 
 impl Reading {
-    fn take(&mut self, entry: Entry) {
+    fn take(&mut self, entry: WorkspaceEntry) {
         if entry.name.is_empty() {
-            self.problems.push(Problem::Nameless);
+            self.problems.push(EntryProblem::MissingName);
             return;
         }
-        if entry.odd_keys > 0 {
-            self.problems.push(Problem::OddKey(entry.name.clone()));
+        if entry.invalid_keys > 0 {
+            self.problems
+                .push(EntryProblem::InvalidKey(entry.name.clone()));
         }
         let workspace = Workspace {
             name: entry.name.as_str().into(),
@@ -159,7 +163,7 @@
     fn place(&mut self, workspace: Workspace) -> usize {
         if let Some(place) = self.places.get(&workspace.name).copied() {
             self.problems
-                .push(Problem::Twice(workspace.name.to_string()));
+                .push(EntryProblem::DuplicateName(workspace.name.to_string()));
             let known = &mut self.all[place];
             known.allowance = stricter(known.allowance, workspace.allowance);
             known.rank = known.rank.max(workspace.rank);
@@ -179,7 +183,7 @@
             }
             Some(Some(other)) if other != place => {
                 self.keys.insert(key, None);
-                self.problems.push(Problem::SharedKey {
+                self.problems.push(EntryProblem::SharedKey {
                     first: self.all[other].name.to_string(),
                     second: self.all[place].name.to_string(),
                 });
@@ -188,50 +192,57 @@
         }
     }
 
-    fn rank(&mut self, entry: &Entry) -> Option<u8> {
+    fn rank(&mut self, entry: &WorkspaceEntry) -> Option<u8> {
         match entry.rank {
-            Given::Absent => None,
-            Given::Number(n)
+            RawNumber::Absent => None,
+            RawNumber::Number(n)
                 if n.fract() == 0.0 && (0.0..=f64::from(LEAST_URGENT)).contains(&n) =>
             {
                 Some(n as u8)
             }
-            Given::Number(_) | Given::Odd => {
-                self.problems.push(Problem::OddRank(entry.name.clone()));
+            RawNumber::Number(_) | RawNumber::Invalid => {
+                self.problems
+                    .push(EntryProblem::InvalidRank(entry.name.clone()));
                 Some(LEAST_URGENT)
             }
         }
     }
 
-    fn allowance(&mut self, entry: &Entry) -> Allowance {
+    fn allowance(&mut self, entry: &WorkspaceEntry) -> Allowance {
         let rate = self.units(entry, "rate", entry.rate);
         let burst = self.units(entry, "burst", entry.burst);
         let (Some(rate), Some(burst)) = (rate, burst) else {
-            return Allowance::Closed;
+            return Allowance::Denied;
         };
         if rate == 0.0 {
             return Allowance::Unlimited;
         }
         let unit = match entry.unit {
-            GivenUnit::Requests => Unit::Requests,
-            GivenUnit::Tokens => Unit::Tokens {
-                plain: self.plain(entry, rate),
+            RawUnit::Requests => QuotaUnit::Requests,
+            RawUnit::Tokens => QuotaUnit::Tokens {
+                default_tokens: self.plain(entry, rate),
             },
-            GivenUnit::Odd => {
-                self.problems.push(Problem::OddUnit(entry.name.clone()));
-                return Allowance::Closed;
+            RawUnit::Invalid => {
+                self.problems
+                    .push(EntryProblem::InvalidUnit(entry.name.clone()));
+                return Allowance::Denied;
             }
         };
-        Allowance::Capped(Cap { unit, rate, burst })
+        Allowance::Limited(Quota { unit, rate, burst })
     }
 
     /// A number of units; `None` if it is none.
-    fn units(&mut self, entry: &Entry, field: &'static str, given: Given) -> Option<f64> {
+    fn units(
+        &mut self,
+        entry: &WorkspaceEntry,
+        field: &'static str,
+        given: RawNumber,
+    ) -> Option<f64> {
         match given {
-            Given::Absent => Some(0.0),
-            Given::Number(n) if n.is_finite() && n >= 0.0 => Some(n),
-            Given::Number(_) | Given::Odd => {
-                self.problems.push(Problem::OddCap {
+            RawNumber::Absent => Some(0.0),
+            RawNumber::Number(n) if n.is_finite() && n >= 0.0 => Some(n),
+            RawNumber::Number(_) | RawNumber::Invalid => {
+                self.problems.push(EntryProblem::InvalidQuota {
                     name: entry.name.clone(),
                     field,
                 });
@@ -240,17 +251,18 @@
         }
     }
 
-    fn plain(&mut self, entry: &Entry, rate: f64) -> u64 {
-        match entry.plain {
-            Given::Number(n) if n.is_finite() && n >= 1.0 => n as u64,
-            Given::Absent | Given::Number(_) | Given::Odd => {
-                self.problems.push(Problem::OddPlain(entry.name.clone()));
+    fn plain(&mut self, entry: &WorkspaceEntry, rate: f64) -> u64 {
+        match entry.default_tokens {
+            RawNumber::Number(n) if n.is_finite() && n >= 1.0 => n as u64,
+            RawNumber::Absent | RawNumber::Number(_) | RawNumber::Invalid => {
+                self.problems
+                    .push(EntryProblem::InvalidDefault(entry.name.clone()));
                 (rate as u64).max(1)
             }
         }
     }
 
-    fn finish(self, hasher: KeyHasher) -> (Workspaces, Vec<Problem>) {
+    fn finish(self, hasher: KeyHasher) -> (Workspaces, Vec<EntryProblem>) {
         let all: Vec<Arc<Workspace>> = self.all.into_iter().map(Arc::new).collect();
         let owned = self.keys.into_iter();
         let owned = owned.filter_map(|(key, place)| Some((key, all[place?].clone())));
@@ -263,14 +275,14 @@
 fn stricter(a: Allowance, b: Allowance) -> Allowance {
     match (a, b) {
         (Allowance::Unlimited, other) | (other, Allowance::Unlimited) => other,
-        (Allowance::Capped(a), Allowance::Capped(b)) if a.unit == b.unit => {
-            Allowance::Capped(Cap {
+        (Allowance::Limited(a), Allowance::Limited(b)) if a.unit == b.unit => {
+            Allowance::Limited(Quota {
                 rate: a.rate.min(b.rate),
                 burst: a.burst.min(b.burst),
                 unit: a.unit,
             })
         }
         // Caps in two units cannot be compared.
-        _ => Allowance::Closed,
+        _ => Allowance::Denied,
     }
 }
--- a/crates/comfreyhall-workspace/src/granting.rs
+++ b/crates/comfreyhall-workspace/src/granting.rs
@@ -10,7 +10,10 @@
 
 use comfreyhall_protocol::Map;
 
-use crate::{Basis, Call, Cap, Fleet, Home, Line, Meter, Name, Reply, Settled, Taken, meter::Kept};
+use crate::{
+    FleetView, GrantLine, Name, PeerProcess, Quota, QuotaSnapshot, RateLimiter, ReserveOutcome,
+    SettleReply, SettleRequest, UsageLine, meter::PlacedQuota,
+};
 
 /// Units and seconds of the rate that may gather in the bucket: with a single
 /// request, those that come a moment apart would leave part of the rate unused.
@@ -56,13 +59,13 @@
     }
 
     /// What there is at `now`.
-    fn at(&self, cap: &Cap, now: u64) -> f64 {
+    fn at(&self, cap: &Quota, now: u64) -> f64 {
         let passed = now.saturating_sub(self.filled) as f64 / 1_000.0;
         (self.balance + passed * cap.rate).min(most(cap))
     }
 
     /// Takes out what `need` lacks, in whole requests of `least`.
-    fn grant(&mut self, cap: &Cap, need: f64, least: f64, now: u64) -> f64 {
+    fn grant(&mut self, cap: &Quota, need: f64, least: f64, now: u64) -> f64 {
         self.balance = self.at(cap, now);
         self.filled = now;
         let least = least.max(f64::MIN_POSITIVE);
@@ -76,7 +79,7 @@
 
     /// Ms until one that was refused should come back: each has a turn of its
     /// own, so that they do not come together.
-    fn turn_ms(&mut self, cap: &Cap, size: f64, now: u64) -> u64 {
+    fn turn_ms(&mut self, cap: &Quota, size: f64, now: u64) -> u64 {
         let ms = |units: f64| units / cap.rate.max(f64::MIN_POSITIVE) * 1_000.0;
         let there = now as f64 + ms(size - self.at(cap, now));
         let after = self.turn as f64 + ms(size) * TURN_PART;
@@ -93,7 +96,7 @@
 }
 
 /// Most that gathers in a bucket.
-fn most(cap: &Cap) -> f64 {
+fn most(cap: &Quota) -> f64 {
     GATHER + cap.burst + cap.rate * GATHER_S
 }
 
@@ -136,7 +139,7 @@
 /// One group, as seen from here.
 #[derive(Debug, Default)]
 struct Link {
-    home: Option<Home>,
+    home: Option<PeerProcess>,
     serial: u64,
     /// The last call that was answered or given up.
     answered: u64,
@@ -154,17 +157,17 @@
 }
 
 /// Caps by granting.
-pub struct Granting {
-    me: Home,
-    kept: Map<Name, Kept>,
+pub struct GrantingLimiter {
+    me: PeerProcess,
+    kept: Map<Name, PlacedQuota>,
     links: Map<Name, Link>,
     purses: Map<Name, Purse>,
     buckets: Map<Name, Bucket>,
 }
 
-impl Granting {
+impl GrantingLimiter {
     /// Nothing is known yet.
-    pub fn new(me: Home) -> Self {
+    pub fn new(me: PeerProcess) -> Self {
         Self {
             me,
             kept: Map::default(),
@@ -192,20 +195,20 @@
         };
         let bucket = self.buckets.entry(name.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(now));
-        let grant = bucket.grant(&kept.cap, need, least, now);
+        let grant = bucket.grant(&kept.quota, need, least, now);
         match grant < need {
-            true => (grant, bucket.turn_ms(&kept.cap, least, now)),
+            true => (grant, bucket.turn_ms(&kept.quota, least, now)),
             false => (grant, 0),
         }
     }
 }
 
-impl Meter for Granting {
-    fn keep(&mut self, kept: Map<Name, Kept>, groups: &[Name], now: u64) {
+impl RateLimiter for GrantingLimiter {
+    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
         for (name, new) in &kept {
             // What gathered at the old rate is bounded by the new one.
             if let (Some(bucket), Some(old)) = (self.buckets.get_mut(name), self.kept.get(name)) {
-                bucket.balance = bucket.at(&old.cap, now).min(most(&new.cap));
+                bucket.balance = bucket.at(&old.quota, now).min(most(&new.quota));
                 bucket.filled = now;
             }
         }
@@ -219,7 +222,7 @@
         }
     }
 
-    fn meet(&mut self, homes: &Map<Name, Home>, _fleet: Fleet, now: u64) {
+    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, _fleet: FleetView, now: u64) {
         for (group, link) in &mut self.links {
             let home = homes.get(group);
             if link.home.as_ref() == home {
@@ -237,22 +240,22 @@
         }
     }
 
-    fn ask(&mut self, _name: &str, _size: u64, _now: u64) {}
+    fn record_demand(&mut self, _name: &str, _size: u64, _now: u64) {}
 
-    fn take(&mut self, name: &str, size: u64, now: u64) -> Taken {
-        let unknown = Taken::Unsure { retry_ms: FIND_MS };
+    fn try_reserve(&mut self, name: &str, size: u64, now: u64) -> ReserveOutcome {
+        let unknown = ReserveOutcome::UsageUnknown { retry_ms: FIND_MS };
         let size = size as f64;
         let Some((name, kept)) = self.kept.get_key_value(name) else {
             return unknown;
         };
         let (name, group) = (name.clone(), kept.group.clone());
         if self.purses.entry(name.clone()).or_default().take(size, now) {
-            return Taken::Granted;
+            return ReserveOutcome::Granted;
         }
         if self.at_home(&group) {
             return match self.grant(&name, size, size, now) {
-                (grant, _) if grant >= size => Taken::Granted,
-                (_, retry_ms) => Taken::Over { retry_ms },
+                (grant, _) if grant >= size => ReserveOutcome::Granted,
+                (_, retry_ms) => ReserveOutcome::OverQuota { retry_ms },
             };
         }
         let (Some(link), Some(purse)) = (self.links.get_mut(&group), self.purses.get_mut(&name))
@@ -261,25 +264,25 @@
         };
         if now < purse.refused_until {
             let retry_ms = purse.refused_until - now;
-            return Taken::Over { retry_ms };
+            return ReserveOutcome::OverQuota { retry_ms };
         }
         if link.home.is_none() || now < link.silent_until {
             return unknown;
         }
         purse.lack(size);
         link.urgent = true;
-        Taken::Ask(link.serial + 1)
+        ReserveOutcome::Pending(link.serial + 1)
     }
 
-    fn closed_ms(&self, name: &str, size: u64, now: u64) -> u64 {
+    fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64 {
         let (Some(kept), Some(link)) = (self.kept.get(name), self.link_of(name)) else {
             return FIND_MS;
         };
         if link.home.as_ref() == Some(&self.me) {
             let held = self.buckets.get(name);
-            let held = held.map_or(0.0, |b| b.at(&kept.cap, now));
+            let held = held.map_or(0.0, |b| b.at(&kept.quota, now));
             let missing = (size as f64 - held).max(0.0);
-            return (missing / kept.cap.rate * 1_000.0).ceil() as u64;
+            return (missing / kept.quota.rate * 1_000.0).ceil() as u64;
         }
         let purse = self.purses.get(name).copied().unwrap_or_default();
         if purse.balance >= size as f64 && now < purse.until {
@@ -292,17 +295,17 @@
         home_ms.max(silent_ms).max(refused_ms)
     }
 
-    fn spare(&self, name: &str, now: u64) -> bool {
+    fn has_surplus(&self, name: &str, now: u64) -> bool {
         let Some(kept) = self.kept.get(name).filter(|k| self.at_home(&k.group)) else {
             return false;
         };
-        let held = self.buckets.get(name).map(|b| b.at(&kept.cap, now));
-        held.is_some_and(|held| held >= most(&kept.cap))
+        let held = self.buckets.get(name).map(|b| b.at(&kept.quota, now));
+        held.is_some_and(|held| held >= most(&kept.quota))
     }
 
-    fn sent(&mut self, _name: &str, _size: u64) {}
+    fn mark_sent(&mut self, _name: &str, _size: u64) {}
 
-    fn unsent(&mut self, name: &str, size: u64) {
+    fn release_unsent(&mut self, name: &str, size: u64) {
         let home = self.kept.get(name).is_some_and(|k| self.at_home(&k.group));
         if let Some(bucket) = self.buckets.get_mut(name).filter(|_| home) {
             bucket.balance += size as f64;
@@ -312,11 +315,11 @@
         }
     }
 
-    fn not_run(&mut self, name: &str, size: u64) {
-        self.unsent(name, size);
+    fn refund(&mut self, name: &str, size: u64) {
+        self.release_unsent(name, size);
     }
 
-    fn due(&mut self, now: u64) -> Vec<(Name, Home)> {
+    fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let due = self.links.iter().filter_map(|(group, link)| {
             let home = link.home.as_ref().filter(|h| **h != self.me)?;
             let asks = link.urgent && !link.busy(now) && now >= link.silent_until;
@@ -325,16 +328,16 @@
         due.collect()
     }
 
-    fn call(&mut self, group: &Name, _home: &Home, now: u64) -> Call {
+    fn settle_request(&mut self, group: &Name, _home: &PeerProcess, now: u64) -> SettleRequest {
         let kept = &self.kept;
         let here = |name: &Name| kept.get(name).is_some_and(|k| k.group == *group);
         let waiting = self.purses.iter_mut();
         let waiting = waiting.filter(|(name, purse)| purse.need > 0.0 && here(name));
-        let lines = waiting.map(|(name, purse)| Line {
+        let lines = waiting.map(|(name, purse)| UsageLine {
             workspace: name.to_string(),
             need: std::mem::take(&mut purse.need),
-            least: purse.least,
-            ..Line::default()
+            min_need: purse.least,
+            ..UsageLine::default()
         });
         let lines = lines.collect();
         let link = self.links.entry(group.clone()).or_default();
@@ -342,40 +345,46 @@
         link.called = now;
         link.calling = true;
         link.urgent = false;
-        Call {
-            from: self.me.peer.to_string(),
+        SettleRequest {
+            from: self.me.peer_addr.to_string(),
             boot: self.me.boot,
             serial: link.serial,
             group: group.to_string(),
             lines,
-            ..Call::default()
+            ..SettleRequest::default()
         }
     }
 
-    fn answer(&mut self, call: &Call, _met: u64, now: u64) -> Reply {
+    fn handle_settle(&mut self, call: &SettleRequest, _met: u64, now: u64) -> SettleReply {
         let home = self.at_home(&call.group);
         let lines = call.lines.iter().map(|line| {
             let (grant, retry_ms) = match home {
-                true => self.grant(&line.workspace, line.need, line.least, now),
+                true => self.grant(&line.workspace, line.need, line.min_need, now),
                 false => (0.0, FIND_MS),
             };
-            Settled {
+            GrantLine {
                 workspace: line.workspace.clone(),
                 grant,
                 retry_ms,
-                ..Settled::default()
+                ..GrantLine::default()
             }
         });
         let lines = lines.collect();
-        Reply {
+        SettleReply {
             boot: self.me.boot,
-            clock: now,
-            part: f64::from(u8::from(home)),
+            clock_ms: now,
+            lendable_share: f64::from(u8::from(home)),
             lines,
         }
     }
 
-    fn heard(&mut self, group: &Name, home: &Home, reply: Option<&Reply>, now: u64) {
+    fn handle_reply(
+        &mut self,
+        group: &Name,
+        home: &PeerProcess,
+        reply: Option<&SettleReply>,
+        now: u64,
+    ) {
         let Some(link) = self.links.get_mut(group) else {
             return;
         };
@@ -399,11 +408,11 @@
         }
     }
 
-    fn answered(&self, group: &Name) -> u64 {
+    fn last_answered(&self, group: &Name) -> u64 {
         self.links.get(group).map_or(u64::MAX, |l| l.answered)
     }
 
-    fn ended(&mut self, home: &Home) {
+    fn process_ended(&mut self, home: &PeerProcess) {
         for link in self.links.values_mut() {
             if link.home.as_ref() == Some(home) {
                 link.home = None;
@@ -411,21 +420,21 @@
         }
     }
 
-    fn basis(&self, name: &str, now: u64) -> Basis {
+    fn snapshot(&self, name: &str, now: u64) -> QuotaSnapshot {
         let kept = self.kept.get(name);
         let link = kept.and_then(|k| self.links.get(&k.group));
         let purse = self.purses.get(name).copied().unwrap_or_default();
-        Basis {
-            rate: kept.map_or(0.0, |k| k.cap.rate),
-            home: link.and_then(|l| Some(l.home.as_ref()?.peer.clone())),
-            part: f64::from(u8::from(link.is_some_and(|l| l.home.is_some()))),
+        QuotaSnapshot {
+            rate: kept.map_or(0.0, |k| k.quota.rate),
+            coordinator: link.and_then(|l| Some(l.home.as_ref()?.peer_addr.clone())),
+            lendable_share: f64::from(u8::from(link.is_some_and(|l| l.home.is_some()))),
             age_ms: link.map_or(0, |l| now.saturating_sub(l.called)),
-            held: purse.balance,
-            ..Basis::default()
+            balance: purse.balance,
+            ..QuotaSnapshot::default()
         }
     }
 
-    fn group(&self, name: &str) -> Option<Name> {
+    fn quota_group(&self, name: &str) -> Option<Name> {
         self.kept.get(name).map(|k| k.group.clone())
     }
 }
--- a/crates/comfreyhall-workspace/src/lending/account.rs
+++ b/crates/comfreyhall-workspace/src/lending/account.rs
@@ -9,7 +9,7 @@
 
 use comfreyhall_protocol::Map;
 
-use crate::{Cap, Line, Name, Settled, Tolerance};
+use crate::{GrantLine, Name, Quota, Tolerance, UsageLine};
 
 /// Part of the tolerance that may lie with daemons beyond what their requests
 /// wait for: it is what a home that takes over does not know of at first.
@@ -50,8 +50,8 @@
 
 impl Terms {
     /// For a home that lends `part` of `cap`.
-    pub(super) fn of(cap: &Cap, tolerance: &Tolerance, part: f64) -> Self {
-        let tolerated = tolerance.of(cap);
+    pub(super) fn of(cap: &Quota, tolerance: &Tolerance, part: f64) -> Self {
+        let tolerated = tolerance.tolerated_excess(cap);
         let window_s = tolerance.window_ms as f64 / 1_000.0;
         Self {
             rate: cap.rate,
@@ -129,13 +129,13 @@
     pub(super) fn settle(
         &mut self,
         from: &Name,
-        line: &Line,
+        line: &UsageLine,
         terms: &Terms,
         minted: Minted,
         now: u64,
-    ) -> Settled {
+    ) -> GrantLine {
         let lent = self.lent.entry(from.clone()).or_default();
-        lent.held = line.held;
+        lent.held = line.balance;
         lent.reserved = line.reserved;
         lent.demand = line.demand;
         lent.at = now;
@@ -151,28 +151,28 @@
             lent.held += grant;
             lent.unmet = (line.need - grant).max(0.0);
         }
-        if line.held + line.reserved + line.demand + grant <= 0.0 {
+        if line.balance + line.reserved + line.demand + grant <= 0.0 {
             self.lent.remove(from);
         }
-        Settled {
+        GrantLine {
             workspace: line.workspace.clone(),
             grant,
             retry_ms: match line.need > grant {
                 true => self.retry_ms(terms, now),
                 false => 0,
             },
-            others: (others - line.demand).max(0.0),
+            other_demand: (others - line.demand).max(0.0),
             lent: self.window.sum(terms.window_ms, now),
         }
     }
 
     /// What `line` gets of `most`.
-    fn grant(&self, line: &Line, terms: &Terms, most: f64) -> f64 {
+    fn grant(&self, line: &UsageLine, terms: &Terms, most: f64) -> f64 {
         let spare = (terms.ahead - self.held()).max(0.0);
         match most >= line.need {
-            true => line.need + line.want.min(spare).min(most - line.need),
+            true => line.need + line.prefetch.min(spare).min(most - line.need),
             // Some of those who wait, if it does for the first.
-            false if most >= line.least => most,
+            false if most >= line.min_need => most,
             false => 0.0,
         }
     }
--- a/crates/comfreyhall-workspace/src/lending/ledger.rs
+++ b/crates/comfreyhall-workspace/src/lending/ledger.rs
@@ -9,7 +9,9 @@
 use comfreyhall_protocol::Map;
 
 use super::account::{Account, Minted, Terms};
-use crate::{Call, Cap, Fleet, Home, Name, Reply, Settled, Tolerance};
+use crate::{
+    FleetView, GrantLine, Name, PeerProcess, Quota, SettleReply, SettleRequest, Tolerance,
+};
 
 /// How long a daemon must have been known before its part counts, in ms: those
 /// that are out of hearing still count on fewer members until then.
@@ -60,7 +62,7 @@
     }
 
     /// Goes on to `now` with the shares that still hold.
-    pub(super) fn advance(&mut self, fleet: Fleet, age: u64, now: u64) {
+    pub(super) fn advance(&mut self, fleet: FleetView, age: u64, now: u64) {
         let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
         let before = self.part;
         self.part = self.lendable(fleet, age, now);
@@ -99,7 +101,7 @@
         }
     }
 
-    fn lendable(&self, fleet: Fleet, age: u64, now: u64) -> f64 {
+    fn lendable(&self, fleet: FleetView, age: u64, now: u64) -> f64 {
         let holds = self.shares.values().filter(|s| now < s.until);
         let members = fleet.members.max(1);
         let heard = holds.clone().count();
@@ -109,14 +111,14 @@
         let torn = heard * 2 < members || (fleet.stale && heard < members);
         match torn {
             // How small a part is cannot be known yet.
-            _ if !fleet.certain => 0.0,
+            _ if !fleet.confirmed => 0.0,
             true => part.min(1.0) * MINORITY_PART,
             false => part.min(1.0),
         }
     }
 
     /// Takes in the part that a daemon gives; false if a later call came before.
-    fn give(&mut self, call: &Call, met: u64, now: u64) -> bool {
+    fn give(&mut self, call: &SettleRequest, met: u64, now: u64) -> bool {
         let from: Name = call.from.as_str().into();
         let known = self.shares.get(&from);
         let restarted = known.is_some_and(|s| s.boot != call.boot);
@@ -146,20 +148,20 @@
     /// Answers `call` with the caps that `cap_of` names.
     pub(super) fn answer<'a>(
         &mut self,
-        call: &Call,
-        me: &Home,
+        call: &SettleRequest,
+        me: &PeerProcess,
         world: &World<'_>,
-        cap_of: impl Fn(&str) -> Option<&'a Cap>,
-    ) -> Reply {
+        cap_of: impl Fn(&str) -> Option<&'a Quota>,
+    ) -> SettleReply {
         let now = world.now;
         let fresh = self.give(call, world.met, now);
         self.advance(world.fleet, world.age, now);
         let from: Name = call.from.as_str().into();
         let lines = call.lines.iter().filter(|_| fresh).map(|line| {
             let Some(cap) = cap_of(&line.workspace) else {
-                return Settled {
+                return GrantLine {
                     workspace: line.workspace.clone(),
-                    ..Settled::default()
+                    ..GrantLine::default()
                 };
             };
             let terms = Terms::of(cap, world.tolerance, self.part);
@@ -168,10 +170,10 @@
             account.settle(&from, line, &terms, self.minted, now)
         });
         let lines = lines.collect();
-        Reply {
+        SettleReply {
             boot: me.boot,
-            clock: now,
-            part: self.part,
+            clock_ms: now,
+            lendable_share: self.part,
             lines,
         }
     }
@@ -179,7 +181,7 @@
 
 /// What a home knows besides its ledger.
 pub(super) struct World<'a> {
-    pub(super) fleet: Fleet,
+    pub(super) fleet: FleetView,
     pub(super) tolerance: &'a Tolerance,
     /// Ms since this daemon started.
     pub(super) age: u64,
--- a/crates/comfreyhall-workspace/src/lending/mod.rs
+++ b/crates/comfreyhall-workspace/src/lending/mod.rs
@@ -16,7 +16,10 @@
     ledger::{KNOWING_PART, Ledger, World},
     purse::Purse,
 };
-use crate::{Basis, Call, Fleet, Home, Line, Meter, Name, Reply, Taken, Tolerance, meter::Kept};
+use crate::{
+    FleetView, Name, PeerProcess, QuotaSnapshot, RateLimiter, ReserveOutcome, SettleReply,
+    SettleRequest, Tolerance, UsageLine, meter::PlacedQuota,
+};
 
 /// How long a part given to a home stays there, in ms. Within it two renewals
 /// may be lost; after it another home may have the part.
@@ -36,18 +39,18 @@
 
 /// To whom this daemon's part is given.
 #[derive(Debug, Clone)]
-struct Given {
-    home: Home,
+struct ShareAssignment {
+    home: PeerProcess,
     until: u64,
 }
 
 /// One group, as a borrower sees it.
 #[derive(Debug, Default)]
 struct Link {
-    home: Option<Home>,
-    given: Option<Given>,
+    home: Option<PeerProcess>,
+    given: Option<ShareAssignment>,
     /// The home's clock as it last told it.
-    echo: Option<(Home, u64)>,
+    echo: Option<(PeerProcess, u64)>,
     serial: u64,
     /// The last call that was answered or given up.
     answered: u64,
@@ -64,13 +67,13 @@
 
 impl Link {
     /// Whether this daemon's part may be given to `home`.
-    fn free_for(&self, home: &Home, now: u64) -> bool {
+    fn free_for(&self, home: &PeerProcess, now: u64) -> bool {
         let given = self.given.as_ref();
         given.is_none_or(|g| g.home == *home || now >= g.until)
     }
 
-    fn give(&mut self, home: &Home, now: u64) {
-        self.given = Some(Given {
+    fn give(&mut self, home: &PeerProcess, now: u64) {
+        self.given = Some(ShareAssignment {
             home: home.clone(),
             until: now + TERM_MS,
         });
@@ -82,25 +85,25 @@
 }
 
 /// Caps by lending.
-pub struct Lending {
-    me: Home,
+pub struct LendingLimiter {
+    me: PeerProcess,
     tolerance: Tolerance,
     began: u64,
-    fleet: Fleet,
-    kept: Map<Name, Kept>,
+    fleet: FleetView,
+    kept: Map<Name, PlacedQuota>,
     links: Map<Name, Link>,
     ledgers: Map<Name, Ledger>,
     purses: Map<Name, Purse>,
 }
 
-impl Lending {
+impl LendingLimiter {
     /// Nothing is known yet.
-    pub fn new(me: Home, tolerance: Tolerance, now: u64) -> Self {
+    pub fn new(me: PeerProcess, tolerance: Tolerance, now: u64) -> Self {
         Self {
             me,
             tolerance,
             began: now,
-            fleet: Fleet::default(),
+            fleet: FleetView::default(),
             kept: Map::default(),
             links: Map::default(),
             ledgers: Map::default(),
@@ -110,7 +113,7 @@
 
     /// This daemon's part of every cap; none while its number is not known.
     fn share(&self) -> f64 {
-        match (self.fleet.certain, self.fleet.members) {
+        match (self.fleet.confirmed, self.fleet.members) {
             (false, _) | (_, 0) => 0.0,
             (true, members) => 1.0 / members as f64,
         }
@@ -118,7 +121,7 @@
 
     /// Settles `lines` with the own ledger of `group`, and gives it the own part,
     /// if this daemon is the home.
-    fn settle_own(&mut self, group: &Name, lines: Vec<Line>, now: u64) {
+    fn settle_own(&mut self, group: &Name, lines: Vec<UsageLine>, now: u64) {
         let share = self.share();
         let Some(link) = self.links.get_mut(group) else {
             return;
@@ -131,8 +134,8 @@
             link.give(&self.me, now);
         }
         link.serial += 1;
-        let call = Call {
-            from: self.me.peer.to_string(),
+        let call = SettleRequest {
+            from: self.me.peer_addr.to_string(),
             boot: self.me.boot,
             serial: link.serial,
             group: group.to_string(),
@@ -145,7 +148,7 @@
         self.take_in(group, &reply, now);
     }
 
-    fn answer_by_ledger(&mut self, call: &Call, met: u64, now: u64) -> Reply {
+    fn answer_by_ledger(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply {
         let ledger = self.ledgers.entry(call.group.as_str().into()).or_default();
         let world = World {
             fleet: self.fleet,
@@ -155,12 +158,12 @@
             now,
         };
         let kept = &self.kept;
-        ledger.answer(call, &self.me, &world, |w| kept.get(w).map(|k| &k.cap))
+        ledger.answer(call, &self.me, &world, |w| kept.get(w).map(|k| &k.quota))
     }
 
-    fn take_in(&mut self, group: &Name, reply: &Reply, now: u64) {
+    fn take_in(&mut self, group: &Name, reply: &SettleReply, now: u64) {
         if let Some(link) = self.links.get_mut(group) {
-            link.part = reply.part;
+            link.part = reply.lendable_share;
             link.told = now;
         }
         for settled in &reply.lines {
@@ -171,7 +174,7 @@
     }
 
     /// Takes credit where this daemon is the home itself.
-    fn take_own(&mut self, workspace: &str, group: &Name, size: f64, now: u64) -> Taken {
+    fn take_own(&mut self, workspace: &str, group: &Name, size: f64, now: u64) -> ReserveOutcome {
         let line = self.purses.get_mut(workspace).map(|purse| {
             purse.lack(size);
             purse.tell(workspace, now)
@@ -179,15 +182,15 @@
         self.settle_own(group, line.into_iter().collect(), now);
         let (Some(link), Some(purse)) = (self.links.get(group), self.purses.get_mut(workspace))
         else {
-            return Taken::Unsure { retry_ms: RENEW_MS };
+            return ReserveOutcome::UsageUnknown { retry_ms: RENEW_MS };
         };
         match purse.reserve(size) {
-            true => Taken::Granted,
+            true => ReserveOutcome::Granted,
             false => refusal(link, purse, now),
         }
     }
 
-    fn lines(&mut self, group: &Name, now: u64) -> Vec<Line> {
+    fn lines(&mut self, group: &Name, now: u64) -> Vec<UsageLine> {
         let mut lines = Vec::new();
         for (workspace, purse) in &mut self.purses {
             let here = self.kept.get(workspace).is_some_and(|k| k.group == *group);
@@ -200,19 +203,19 @@
 }
 
 /// What a request that finds no credit is told, if there is nobody to ask.
-fn refusal(link: &Link, purse: &Purse, now: u64) -> Taken {
+fn refusal(link: &Link, purse: &Purse, now: u64) -> ReserveOutcome {
     let retry_ms = purse.refused(now).unwrap_or(0);
     if link.part >= KNOWING_PART {
-        return Taken::Over { retry_ms };
+        return ReserveOutcome::OverQuota { retry_ms };
     }
     let lapse = link.given.as_ref().map_or(0, |g| g.until);
-    Taken::Unsure {
+    ReserveOutcome::UsageUnknown {
         retry_ms: retry_ms.max(lapse.saturating_sub(now)),
     }
 }
 
-impl Meter for Lending {
-    fn keep(&mut self, kept: Map<Name, Kept>, groups: &[Name], now: u64) {
+impl RateLimiter for LendingLimiter {
+    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
         self.kept = kept;
         let kept = &self.kept;
         self.purses.retain(|w, _| kept.contains_key(w));
@@ -227,7 +230,7 @@
         }
     }
 
-    fn meet(&mut self, homes: &Map<Name, Home>, fleet: Fleet, now: u64) {
+    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, fleet: FleetView, now: u64) {
         self.fleet = fleet;
         let groups: Vec<Name> = self.links.keys().cloned().collect();
         for group in groups {
@@ -243,7 +246,7 @@
                     // The own ledger forgets it at once, so another may have it.
                     link.given = None;
                     if let Some(ledger) = self.ledgers.get_mut(&group) {
-                        ledger.withdraw(&self.me.peer);
+                        ledger.withdraw(&self.me.peer_addr);
                     }
                 }
             }
@@ -251,15 +254,15 @@
         }
     }
 
-    fn ask(&mut self, workspace: &str, size: u64, now: u64) {
+    fn record_demand(&mut self, workspace: &str, size: u64, now: u64) {
         if let Some((name, _)) = self.kept.get_key_value(workspace) {
             let purse = self.purses.entry(name.clone()).or_default();
             purse.ask(size as f64, now);
         }
     }
 
-    fn take(&mut self, workspace: &str, size: u64, now: u64) -> Taken {
-        let unknown = Taken::Unsure { retry_ms: RENEW_MS };
+    fn try_reserve(&mut self, workspace: &str, size: u64, now: u64) -> ReserveOutcome {
+        let unknown = ReserveOutcome::UsageUnknown { retry_ms: RENEW_MS };
         let size = size as f64;
         let Some(group) = self.kept.get(workspace).map(|k| k.group.clone()) else {
             return unknown;
@@ -268,7 +271,7 @@
             return unknown;
         };
         if purse.reserve(size) {
-            return Taken::Granted;
+            return ReserveOutcome::Granted;
         }
         let link = self.links.get(&group);
         if link.is_some_and(|l| l.home.as_ref() == Some(&self.me)) {
@@ -284,38 +287,38 @@
         }
         purse.lack(size);
         link.urgent = true;
-        Taken::Ask(link.serial + 1)
+        ReserveOutcome::Pending(link.serial + 1)
     }
 
-    fn closed_ms(&self, name: &str, size: u64, now: u64) -> u64 {
+    fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64 {
         let purse = self.purses.get(name);
         let refused = purse.filter(|p| p.held() < size as f64);
         refused.and_then(|p| p.refused(now)).unwrap_or(0)
     }
 
-    fn spare(&self, _name: &str, _now: u64) -> bool {
+    fn has_surplus(&self, _name: &str, _now: u64) -> bool {
         false
     }
 
-    fn sent(&mut self, workspace: &str, size: u64) {
+    fn mark_sent(&mut self, workspace: &str, size: u64) {
         if let Some(purse) = self.purses.get_mut(workspace) {
             purse.sent(size as f64);
         }
     }
 
-    fn unsent(&mut self, workspace: &str, size: u64) {
+    fn release_unsent(&mut self, workspace: &str, size: u64) {
         if let Some(purse) = self.purses.get_mut(workspace) {
             purse.unsent(size as f64);
         }
     }
 
-    fn not_run(&mut self, workspace: &str, size: u64) {
+    fn refund(&mut self, workspace: &str, size: u64) {
         if let Some(purse) = self.purses.get_mut(workspace) {
             purse.not_run(size as f64);
         }
     }
 
-    fn due(&mut self, now: u64) -> Vec<(Name, Home)> {
+    fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let mut due = Vec::new();
         for (group, link) in &self.links {
             if link.busy(now) {
@@ -342,7 +345,7 @@
         due
     }
 
-    fn call(&mut self, group: &Name, home: &Home, now: u64) -> Call {
+    fn settle_request(&mut self, group: &Name, home: &PeerProcess, now: u64) -> SettleRequest {
         let share = self.share();
         let current = self.links.get(group).and_then(|l| l.home.clone());
         let lines = match current.as_ref() == Some(home) {
@@ -360,8 +363,8 @@
         if gives {
             link.give(home, now);
         }
-        Call {
-            from: self.me.peer.to_string(),
+        SettleRequest {
+            from: self.me.peer_addr.to_string(),
             boot: self.me.boot,
             serial: link.serial,
             group: group.to_string(),
@@ -372,12 +375,18 @@
         }
     }
 
-    fn answer(&mut self, call: &Call, met: u64, now: u64) -> Reply {
+    fn handle_settle(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply {
         self.settle_own(&call.group.as_str().into(), Vec::new(), now);
         self.answer_by_ledger(call, met, now)
     }
 
-    fn heard(&mut self, group: &Name, home: &Home, reply: Option<&Reply>, now: u64) {
+    fn handle_reply(
+        &mut self,
+        group: &Name,
+        home: &PeerProcess,
+        reply: Option<&SettleReply>,
+        now: u64,
+    ) {
         let Some(link) = self.links.get_mut(group) else {
             return;
         };
@@ -390,7 +399,7 @@
         if reply.boot != home.boot {
             // Another process answers there: the one that was meant has ended.
             let home = home.clone();
-            self.ended(&home);
+            self.process_ended(&home);
             return;
         }
         link.silent_until = 0;
@@ -399,15 +408,15 @@
             link.given = None;
             return;
         }
-        link.echo = Some((home.clone(), reply.clock));
+        link.echo = Some((home.clone(), reply.clock_ms));
         self.take_in(group, reply, now);
     }
 
-    fn answered(&self, group: &Name) -> u64 {
+    fn last_answered(&self, group: &Name) -> u64 {
         self.links.get(group).map_or(u64::MAX, |l| l.answered)
     }
 
-    fn ended(&mut self, home: &Home) {
+    fn process_ended(&mut self, home: &PeerProcess) {
         for link in self.links.values_mut() {
             if link.given.as_ref().is_some_and(|g| g.home == *home) {
                 link.given = None;
@@ -415,22 +424,22 @@
         }
     }
 
-    fn basis(&self, workspace: &str, now: u64) -> Basis {
+    fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot {
         let kept = self.kept.get(workspace);
         let purse = self.purses.get(workspace);
         let link = kept.and_then(|k| self.links.get(&k.group));
-        Basis {
-            rate: kept.map_or(0.0, |k| k.cap.rate),
-            home: link.and_then(|l| Some(l.home.as_ref()?.peer.clone())),
-            part: link.map_or(0.0, |l| l.part),
+        QuotaSnapshot {
+            rate: kept.map_or(0.0, |k| k.quota.rate),
+            coordinator: link.and_then(|l| Some(l.home.as_ref()?.peer_addr.clone())),
+            lendable_share: link.map_or(0.0, |l| l.part),
             lent: purse.map_or(0.0, Purse::lent),
             age_ms: link.map_or(0, |l| now.saturating_sub(l.told)),
-            held: purse.map_or(0.0, Purse::held),
+            balance: purse.map_or(0.0, Purse::held),
             demand: purse.map_or(0.0, |p| p.rate(now)),
         }
     }
 
-    fn group(&self, workspace: &str) -> Option<Name> {
+    fn quota_group(&self, workspace: &str) -> Option<Name> {
         self.kept.get(workspace).map(|k| k.group.clone())
     }
 }
--- a/crates/comfreyhall-workspace/src/lending/purse.rs
+++ b/crates/comfreyhall-workspace/src/lending/purse.rs
@@ -1,6 +1,6 @@
 //! A borrower's side: credit that one daemon has for one workspace.
 
-use crate::{Line, Settled, pace::Pace};
+use crate::{GrantLine, UsageLine, pace::Pace};
 
 /// Demand for which credit is borrowed ahead, in s: a bit more than the pause
 /// between two settlements, so that a busy workspace's requests need not wait
@@ -100,7 +100,7 @@
     }
 
     /// What the home is told.
-    pub(super) fn tell(&mut self, workspace: &str, now: u64) -> Line {
+    pub(super) fn tell(&mut self, workspace: &str, now: u64) -> UsageLine {
         let ahead = self.ahead(now);
         let need = (std::mem::take(&mut self.need) - self.balance).max(0.0);
         let returned = match need > 0.0 {
@@ -108,22 +108,22 @@
             false => (self.balance - 2.0 * ahead).max(0.0),
         };
         self.balance -= returned;
-        let line = Line {
+        let line = UsageLine {
             workspace: workspace.to_string(),
-            held: self.balance,
+            balance: self.balance,
             reserved: self.reserved,
             returned,
             need,
-            least: (self.least - self.balance).max(0.0),
-            want: (ahead - self.balance).max(0.0),
+            min_need: (self.least - self.balance).max(0.0),
+            prefetch: (ahead - self.balance).max(0.0),
             demand: self.demand.rate(now),
         };
-        self.told = line.held + line.reserved > 0.0 || line.demand >= FORGOTTEN;
+        self.told = line.balance + line.reserved > 0.0 || line.demand >= FORGOTTEN;
         line
     }
 
     /// Takes in what the home lends.
-    pub(super) fn heard(&mut self, settled: &Settled, now: u64) {
+    pub(super) fn heard(&mut self, settled: &GrantLine, now: u64) {
         self.balance += settled.grant;
         self.lent = settled.lent;
         self.told |= settled.grant > 0.0;
--- a/crates/comfreyhall-workspace/src/lib.rs
+++ b/crates/comfreyhall-workspace/src/lib.rs
@@ -19,13 +19,16 @@
 mod sharing;
 mod workspace;
 
-pub use cap::{Cap, Tolerance, Unit};
-pub use entry::{Entry, Given, GivenUnit, Problem, read};
-pub use granting::Granting;
+pub use cap::{Quota, QuotaUnit, Tolerance};
+pub use entry::{EntryProblem, RawNumber, RawUnit, WorkspaceEntry, read_entries};
+pub use granting::GrantingLimiter;
 pub use key::{KeyHash, KeyHasher, PresentedKey, Salt};
-pub use lending::Lending;
-pub use meter::{Basis, Call, Fleet, Home, Kept, Line, Meter, Reply, Settled, Taken, home_group};
-pub use sharing::Sharing;
+pub use lending::LendingLimiter;
+pub use meter::{
+    FleetView, GrantLine, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter, ReserveOutcome,
+    SettleReply, SettleRequest, UsageLine, coordinator_group,
+};
+pub use sharing::SharingLimiter;
 pub use workspace::{Allowance, Workspace, Workspaces};
 
 /// A shared immutable name.
--- a/crates/comfreyhall-workspace/src/meter.rs
+++ b/crates/comfreyhall-workspace/src/meter.rs
@@ -8,26 +8,26 @@
 
 use comfreyhall_protocol::Map;
 
-use crate::{Cap, Name, Workspaces};
+use crate::{Name, Quota, Workspaces};
 
 /// One process of a daemon that others can reach.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Home {
+pub struct PeerProcess {
     /// Where it answers its peers.
-    pub peer: Name,
+    pub peer_addr: Name,
     /// Which process.
     pub boot: u64,
 }
 
 /// The fleet as one daemon knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Fleet {
+pub struct FleetView {
     /// Daemons that may serve requests, this one and those out of hearing among
     /// them.
     pub members: usize,
     /// Whether the platform's store, or somebody who had it from there, has told
     /// this process who they are.
-    pub certain: bool,
+    pub confirmed: bool,
     /// Whether there may be members that this daemon has not heard of: nothing
     /// was heard of the platform's store for long, not even through others.
     pub stale: bool,
@@ -35,19 +35,19 @@
 
 /// What became of taking credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReserveOutcome {
     /// It is reserved.
     Granted,
     /// The home may lend it: take again once it has answered this call, the
     /// number of which counts for the group of the cap.
-    Ask(u64),
+    Pending(u64),
     /// The workspace is over its cap.
-    Over {
+    OverQuota {
         /// Until so much is there again, in ms.
         retry_ms: u64,
     },
     /// Nobody in hearing knows how much the others use.
-    Unsure {
+    UsageUnknown {
         /// Until that may be known, in ms.
         retry_ms: u64,
     },
@@ -55,11 +55,11 @@
 
 /// What a daemon tells of one workspace when it settles.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Line {
+pub struct UsageLine {
     /// The workspace.
     pub workspace: String,
     /// Credit that it has and no request holds.
-    pub held: f64,
+    pub balance: f64,
     /// Credit that requests hold which are not sent yet.
     pub reserved: f64,
     /// Credit that it gives back with this.
@@ -67,16 +67,16 @@
     /// Credit that waiting requests lack.
     pub need: f64,
     /// Credit that the first of them lacks.
-    pub least: f64,
+    pub min_need: f64,
     /// Credit that it would like to have besides.
-    pub want: f64,
+    pub prefetch: f64,
     /// Units a second asked of it.
     pub demand: f64,
 }
 
 /// What a daemon tells the home of a group.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Call {
+pub struct SettleRequest {
     /// Where the daemon answers its peers.
     pub from: String,
     /// Its process.
@@ -92,12 +92,12 @@
     /// How long the share holds, in ms.
     pub term_ms: u64,
     /// Workspaces with something to tell.
-    pub lines: Vec<Line>,
+    pub lines: Vec<UsageLine>,
 }
 
 /// What a home answers of one workspace.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Settled {
+pub struct GrantLine {
     /// The workspace.
     pub workspace: String,
     /// Credit lent.
@@ -105,108 +105,114 @@
     /// When there is more for those that were refused, in ms; 0 if none was.
     pub retry_ms: u64,
     /// Units a second asked of all other daemons.
-    pub others: f64,
+    pub other_demand: f64,
     /// Units lent to all in the last window.
     pub lent: f64,
 }
 
 /// What a home answers.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Reply {
+pub struct SettleReply {
     /// The home's process.
     pub boot: u64,
     /// Its clock.
-    pub clock: u64,
+    pub clock_ms: u64,
     /// Part of every cap that it lends for all who settle with it.
-    pub part: f64,
+    pub lendable_share: f64,
     /// In the order of the call's lines; none if a later call came before.
-    pub lines: Vec<Settled>,
+    pub lines: Vec<GrantLine>,
 }
 
 /// What a refusal rests on.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Basis {
+pub struct QuotaSnapshot {
     /// Units a second that the cap allows.
     pub rate: f64,
     /// Who keeps the cap.
-    pub home: Option<Name>,
+    pub coordinator: Option<Name>,
     /// Part of the cap that it lends.
-    pub part: f64,
+    pub lendable_share: f64,
     /// Units that it lent to all in the last window.
     pub lent: f64,
     /// Ms since it said so.
     pub age_ms: u64,
     /// Credit here that no request holds.
-    pub held: f64,
+    pub balance: f64,
     /// Units a second asked of this daemon.
     pub demand: f64,
 }
 
 /// One daemon's part in keeping the caps.
-pub trait Meter: Send {
+pub trait RateLimiter: Send {
     /// Takes over the workspaces of a new configuration, spread over `groups`.
     fn configure(&mut self, workspaces: &Workspaces, groups: &[Name], now: u64) {
-        self.keep(kept(workspaces, groups), groups, now);
+        self.set_quotas(place_quotas(workspaces, groups), groups, now);
     }
 
     /// Takes over the caps to keep, by name, and all groups.
-    fn keep(&mut self, kept: Map<Name, Kept>, groups: &[Name], now: u64);
+    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64);
 
     /// Takes over who is the home of each group, this daemon among them, and
     /// the fleet.
-    fn meet(&mut self, homes: &Map<Name, Home>, fleet: Fleet, now: u64);
+    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, fleet: FleetView, now: u64);
 
     /// A request of `size` units comes for `workspace`.
-    fn ask(&mut self, workspace: &str, size: u64, now: u64);
+    fn record_demand(&mut self, workspace: &str, size: u64, now: u64);
 
     /// Reserves `size` units for a request that came.
-    fn take(&mut self, workspace: &str, size: u64, now: u64) -> Taken;
+    fn try_reserve(&mut self, workspace: &str, size: u64, now: u64) -> ReserveOutcome;
 
     /// Ms until asking for `size` units is of use; 0 if it may be now.
-    fn closed_ms(&self, name: &str, size: u64, now: u64) -> u64;
+    fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64;
 
     /// Whether this daemon knows that more could be used than is.
-    fn spare(&self, name: &str, now: u64) -> bool;
+    fn has_surplus(&self, name: &str, now: u64) -> bool;
 
     /// A request that holds credit is about to be sent.
-    fn sent(&mut self, workspace: &str, size: u64);
+    fn mark_sent(&mut self, workspace: &str, size: u64);
 
     /// A request that holds credit will not be sent.
-    fn unsent(&mut self, workspace: &str, size: u64);
+    fn release_unsent(&mut self, workspace: &str, size: u64);
 
     /// A request that was sent has surely not run, and will not be sent again.
-    fn not_run(&mut self, workspace: &str, size: u64);
+    fn refund(&mut self, workspace: &str, size: u64);
 
     /// Homes to settle with now.
-    fn due(&mut self, now: u64) -> Vec<(Name, Home)>;
+    fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)>;
 
     /// What to tell `home` of `group`.
-    fn call(&mut self, group: &Name, home: &Home, now: u64) -> Call;
+    fn settle_request(&mut self, group: &Name, home: &PeerProcess, now: u64) -> SettleRequest;
 
     /// Answers a daemon, as a home; `met`: since when its address is known here.
-    fn answer(&mut self, call: &Call, met: u64, now: u64) -> Reply;
+    fn handle_settle(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply;
 
     /// Takes in what `home` answered; `None` if it did not.
-    fn heard(&mut self, group: &Name, home: &Home, reply: Option<&Reply>, now: u64);
+    fn handle_reply(
+        &mut self,
+        group: &Name,
+        home: &PeerProcess,
+        reply: Option<&SettleReply>,
+        now: u64,
+    );
 
     /// The last call to a home of `group` that was answered or given up.
-    fn answered(&self, group: &Name) -> u64;
+    fn last_answered(&self, group: &Name) -> u64;
 
     /// The process `home` has ended.
-    fn ended(&mut self, home: &Home);
+    fn process_ended(&mut self, home: &PeerProcess);
 
     /// What a refusal of `workspace` rests on.
-    fn basis(&self, workspace: &str, now: u64) -> Basis;
+    fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot;
 
     /// The group whose home keeps the cap of `workspace`.
-    fn group(&self, workspace: &str) -> Option<Name>;
+    fn quota_group(&self, workspace: &str) -> Option<Name>;
 }
 
 /// The group of `groups` in which `workspace` has its home.
 ///
 /// Rendezvous hashing: all daemons agree without talking, and a group more or
 /// less moves only the workspaces that it had or gets.
-pub fn home_group<'a>(workspace: &str, groups: &'a [Name]) -> Option<&'a Name> {
+pub fn coordinator_group<'a>(workspace: &str, groups: &'a [Name]) -> Option<&'a Name> {
     use std::hash::{Hash, Hasher};
     groups.iter().max_by_key(|group| {
         let mut hash = rustc_hash::FxHasher::default();
@@ -219,19 +225,19 @@
 
 /// A cap and where it is kept.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kept {
+pub struct PlacedQuota {
     /// The cap.
-    pub cap: Cap,
+    pub quota: Quota,
     /// The group whose home keeps it.
     pub group: Name,
 }
 
 /// The capped workspaces of `workspaces`, spread over `groups`.
-pub(crate) fn kept(workspaces: &Workspaces, groups: &[Name]) -> Map<Name, Kept> {
+pub(crate) fn place_quotas(workspaces: &Workspaces, groups: &[Name]) -> Map<Name, PlacedQuota> {
     let capped = workspaces.all().iter().filter_map(|w| match w.allowance {
-        crate::Allowance::Capped(cap) => {
-            let group = home_group(&w.name, groups)?.clone();
-            Some((w.name.clone(), Kept { cap, group }))
+        crate::Allowance::Limited(cap) => {
+            let group = coordinator_group(&w.name, groups)?.clone();
+            Some((w.name.clone(), PlacedQuota { quota: cap, group }))
         }
         _ => None,
     });
--- a/crates/comfreyhall-workspace/src/sharing.rs
+++ b/crates/comfreyhall-workspace/src/sharing.rs
@@ -9,8 +9,8 @@
 use comfreyhall_protocol::Map;
 
 use crate::{
-    Basis, Call, Fleet, Home, Line, Meter, Name, Reply, Settled, Taken, Tolerance, meter::Kept,
-    pace::Pace,
+    FleetView, GrantLine, Name, PeerProcess, QuotaSnapshot, RateLimiter, ReserveOutcome,
+    SettleReply, SettleRequest, Tolerance, UsageLine, meter::PlacedQuota, pace::Pace,
 };
 
 /// Pause between two settlements with a home, in ms.
@@ -41,7 +41,7 @@
 
 #[derive(Debug, Default)]
 struct Link {
-    home: Option<Home>,
+    home: Option<PeerProcess>,
     serial: u64,
     called: u64,
 }
@@ -50,24 +50,24 @@
 type Told = (f64, u64);
 
 /// Caps by sharing.
-pub struct Sharing {
-    me: Home,
+pub struct SharingLimiter {
+    me: PeerProcess,
     tolerance: Tolerance,
-    fleet: Fleet,
-    kept: Map<Name, Kept>,
+    fleet: FleetView,
+    kept: Map<Name, PlacedQuota>,
     links: Map<Name, Link>,
     parts: Map<Name, Part>,
     /// What each daemon told of each workspace, at its home.
     told: Map<Name, Map<Name, Told>>,
 }
 
-impl Sharing {
+impl SharingLimiter {
     /// Nothing is known yet.
-    pub fn new(me: Home, tolerance: Tolerance) -> Self {
+    pub fn new(me: PeerProcess, tolerance: Tolerance) -> Self {
         Self {
             me,
             tolerance,
-            fleet: Fleet::default(),
+            fleet: FleetView::default(),
             kept: Map::default(),
             links: Map::default(),
             parts: Map::default(),
@@ -97,13 +97,14 @@
         };
         let share = self.share(part, now);
         let passed = now.saturating_sub(part.credited) as f64 / 1_000.0;
-        let most = (kept.cap.burst + UNUSED_PART * self.tolerance.of(&kept.cap)) * share;
-        let balance = (part.balance + kept.cap.rate * share * passed).min(most);
+        let most =
+            (kept.quota.burst + UNUSED_PART * self.tolerance.tolerated_excess(&kept.quota)) * share;
+        let balance = (part.balance + kept.quota.rate * share * passed).min(most);
         if let Some(part) = self.parts.get_mut(workspace) {
             part.balance = balance;
             part.credited = now;
         }
-        kept.cap.rate * share
+        kept.quota.rate * share
     }
 
     fn others(&self, workspace: &str, from: &str, now: u64) -> f64 {
@@ -129,7 +130,7 @@
             .parts
             .get(workspace)
             .map_or(0.0, |p| p.demand.rate(now));
-        let me = self.me.peer.clone();
+        let me = self.me.peer_addr.clone();
         self.note(workspace, &me, own, now);
         let others = self.others(workspace, &me, now);
         if let Some(part) = self.parts.get_mut(workspace) {
@@ -139,8 +140,8 @@
     }
 }
 
-impl Meter for Sharing {
-    fn keep(&mut self, kept: Map<Name, Kept>, groups: &[Name], _now: u64) {
+impl RateLimiter for SharingLimiter {
+    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], _now: u64) {
         self.kept = kept;
         let kept = &self.kept;
         self.parts.retain(|w, _| kept.contains_key(w));
@@ -151,60 +152,60 @@
         }
     }
 
-    fn meet(&mut self, homes: &Map<Name, Home>, fleet: Fleet, _now: u64) {
+    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, fleet: FleetView, _now: u64) {
         self.fleet = fleet;
         for (group, link) in &mut self.links {
             link.home = Some(homes.get(group).unwrap_or(&self.me).clone());
         }
     }
 
-    fn ask(&mut self, workspace: &str, size: u64, now: u64) {
+    fn record_demand(&mut self, workspace: &str, size: u64, now: u64) {
         if let Some((name, _)) = self.kept.get_key_value(workspace) {
             let part = self.parts.entry(name.clone()).or_default();
             part.demand.bump(size as f64, now);
         }
     }
 
-    fn take(&mut self, workspace: &str, size: u64, now: u64) -> Taken {
+    fn try_reserve(&mut self, workspace: &str, size: u64, now: u64) -> ReserveOutcome {
         let size = size as f64;
         self.settle_own(workspace, now);
         let rate = self.credit(workspace, now);
         let Some(part) = self.parts.get_mut(workspace) else {
-            return Taken::Unsure {
+            return ReserveOutcome::UsageUnknown {
                 retry_ms: SETTLE_MS,
             };
         };
         if part.balance >= size {
             part.balance -= size;
-            return Taken::Granted;
+            return ReserveOutcome::Granted;
         }
         let missing = (size - part.balance) / rate.max(f64::MIN_POSITIVE) * 1_000.0;
-        Taken::Over {
+        ReserveOutcome::OverQuota {
             retry_ms: (missing as u64).max(RETRY_MS),
         }
     }
 
-    fn closed_ms(&self, _name: &str, _size: u64, _now: u64) -> u64 {
+    fn retry_after_ms(&self, _name: &str, _size: u64, _now: u64) -> u64 {
         0
     }
 
-    fn spare(&self, _name: &str, _now: u64) -> bool {
+    fn has_surplus(&self, _name: &str, _now: u64) -> bool {
         false
     }
 
-    fn sent(&mut self, _workspace: &str, _size: u64) {}
+    fn mark_sent(&mut self, _workspace: &str, _size: u64) {}
 
-    fn unsent(&mut self, workspace: &str, size: u64) {
+    fn release_unsent(&mut self, workspace: &str, size: u64) {
         if let Some(part) = self.parts.get_mut(workspace) {
             part.balance += size as f64;
         }
     }
 
-    fn not_run(&mut self, workspace: &str, size: u64) {
-        self.unsent(workspace, size);
+    fn refund(&mut self, workspace: &str, size: u64) {
+        self.release_unsent(workspace, size);
     }
 
-    fn due(&mut self, now: u64) -> Vec<(Name, Home)> {
+    fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let due = self.links.iter().filter_map(|(group, link)| {
             let home = link.home.as_ref().filter(|h| **h != self.me)?;
             let rested = now.saturating_sub(link.called) >= SETTLE_MS;
@@ -213,78 +214,84 @@
         due.collect()
     }
 
-    fn call(&mut self, group: &Name, _home: &Home, now: u64) -> Call {
+    fn settle_request(&mut self, group: &Name, _home: &PeerProcess, now: u64) -> SettleRequest {
         let here = self.parts.iter().filter(|(w, _)| {
             let kept = self.kept.get(*w);
             kept.is_some_and(|k| k.group == *group)
         });
-        let lines = here.map(|(workspace, part)| Line {
+        let lines = here.map(|(workspace, part)| UsageLine {
             workspace: workspace.to_string(),
             demand: part.demand.rate(now),
-            ..Line::default()
+            ..UsageLine::default()
         });
         let lines = lines.collect();
         let link = self.links.entry(group.clone()).or_default();
         link.serial += 1;
         link.called = now;
-        Call {
-            from: self.me.peer.to_string(),
+        SettleRequest {
+            from: self.me.peer_addr.to_string(),
             boot: self.me.boot,
             serial: link.serial,
             group: group.to_string(),
             lines,
-            ..Call::default()
+            ..SettleRequest::default()
         }
     }
 
-    fn answer(&mut self, call: &Call, _met: u64, now: u64) -> Reply {
+    fn handle_settle(&mut self, call: &SettleRequest, _met: u64, now: u64) -> SettleReply {
         for line in &call.lines {
             self.note(&line.workspace, &call.from, line.demand, now);
         }
-        let lines = call.lines.iter().map(|line| Settled {
+        let lines = call.lines.iter().map(|line| GrantLine {
             workspace: line.workspace.clone(),
-            others: self.others(&line.workspace, &call.from, now),
-            ..Settled::default()
+            other_demand: self.others(&line.workspace, &call.from, now),
+            ..GrantLine::default()
         });
-        Reply {
+        SettleReply {
             boot: self.me.boot,
-            clock: now,
-            part: 1.0,
+            clock_ms: now,
+            lendable_share: 1.0,
             lines: lines.collect(),
         }
     }
 
-    fn heard(&mut self, _group: &Name, _home: &Home, reply: Option<&Reply>, now: u64) {
+    fn handle_reply(
+        &mut self,
+        _group: &Name,
+        _home: &PeerProcess,
+        reply: Option<&SettleReply>,
+        now: u64,
+    ) {
         for settled in reply.into_iter().flat_map(|r| &r.lines) {
             if let Some(part) = self.parts.get_mut(settled.workspace.as_str()) {
-                part.others = settled.others;
+                part.others = settled.other_demand;
                 part.told = now;
             }
         }
     }
 
-    fn answered(&self, _group: &Name) -> u64 {
+    fn last_answered(&self, _group: &Name) -> u64 {
         u64::MAX
     }
 
-    fn ended(&mut self, _home: &Home) {}
+    fn process_ended(&mut self, _home: &PeerProcess) {}
 
-    fn basis(&self, workspace: &str, now: u64) -> Basis {
+    fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot {
         let kept = self.kept.get(workspace);
         let part = self.parts.get(workspace);
         let link = kept.and_then(|k| self.links.get(&k.group));
-        Basis {
-            rate: kept.map_or(0.0, |k| k.cap.rate),
-            home: link.and_then(|l| Some(l.home.as_ref()?.peer.clone())),
-            part: part.map_or(0.0, |p| self.share(p, now)),
+        QuotaSnapshot {
+            rate: kept.map_or(0.0, |k| k.quota.rate),
+            coordinator: link.and_then(|l| Some(l.home.as_ref()?.peer_addr.clone())),
+            lendable_share: part.map_or(0.0, |p| self.share(p, now)),
             lent: 0.0,
             age_ms: part.map_or(0, |p| now.saturating_sub(p.told)),
-            held: part.map_or(0.0, |p| p.balance),
+            balance: part.map_or(0.0, |p| p.balance),
             demand: part.map_or(0.0, |p| p.demand.rate(now)),
         }
     }
 
-    fn group(&self, workspace: &str) -> Option<Name> {
+    fn quota_group(&self, workspace: &str) -> Option<Name> {
         self.kept.get(workspace).map(|k| k.group.clone())
     }
 }
--- a/crates/comfreyhall-workspace/src/tests.rs
+++ b/crates/comfreyhall-workspace/src/tests.rs
@@ -10,19 +10,19 @@
     hasher().hash(text.as_bytes())
 }
 
-fn entry(name: &str, keys: &[&str]) -> Entry {
-    Entry {
+fn entry(name: &str, keys: &[&str]) -> WorkspaceEntry {
+    WorkspaceEntry {
         name: name.to_string(),
         keys: keys.iter().map(|k| key(k)).collect(),
-        rate: Given::Number(10.0),
-        burst: Given::Number(5.0),
-        ..Entry::default()
+        rate: RawNumber::Number(10.0),
+        burst: RawNumber::Number(5.0),
+        ..WorkspaceEntry::default()
     }
 }
 
 fn owner(found: &Workspaces, text: &str) -> Option<Name> {
     let key = PresentedKey::new(text.as_bytes());
-    found.of(&key).map(|w| w.name.clone())
+    found.find_by_key(&key).map(|w| w.name.clone())
 }
 
 fn allowance(found: &Workspaces, name: &str) -> Allowance {
@@ -33,7 +33,7 @@
 
 #[test]
 fn of_key_names_workspace() {
-    let (found, problems) = read(
+    let (found, problems) = read_entries(
         hasher(),
         vec![entry("a", &["k1", "k2"]), entry("b", &["k3"])],
     );
@@ -54,7 +54,7 @@
 /// Guards against keys that can be read in logs and errors.
 #[test]
 fn debug_shows_no_key() {
-    let (found, problems) = read(
+    let (found, problems) = read_entries(
         hasher(),
         vec![entry("a", &["sesame"]), entry("b", &["sesame"])],
     );
@@ -75,11 +75,11 @@
 #[test]
 fn read_shared_key_belongs_to_neither() {
     let entries = vec![entry("a", &["k1", "both"]), entry("b", &["both", "k2"])];
-    let (found, problems) = read(hasher(), entries);
+    let (found, problems) = read_entries(hasher(), entries);
     assert_eq!(owner(&found, "both"), None);
     assert_eq!(owner(&found, "k1").as_deref(), Some("a"));
     assert_eq!(owner(&found, "k2").as_deref(), Some("b"));
-    let shared = Problem::SharedKey {
+    let shared = EntryProblem::SharedKey {
         first: "a".into(),
         second: "b".into(),
     };
@@ -89,7 +89,11 @@
 /// Guards against a cap that is lifted by a typing error.
 #[test]
 fn read_odd_cap_allows_nothing() {
-    let odd = [Given::Odd, Given::Number(-1.0), Given::Number(f64::NAN)];
+    let odd = [
+        RawNumber::Invalid,
+        RawNumber::Number(-1.0),
+        RawNumber::Number(f64::NAN),
+    ];
     for odd in odd {
         for field in ["rate", "burst"] {
             let mut a = entry("a", &["k1"]);
@@ -97,30 +101,30 @@
                 "rate" => a.rate = odd,
                 _ => a.burst = odd,
             }
-            let (found, problems) = read(hasher(), vec![a, entry("b", &["k2"])]);
-            assert_eq!(allowance(&found, "a"), Allowance::Closed);
-            assert_ne!(allowance(&found, "b"), Allowance::Closed);
+            let (found, problems) = read_entries(hasher(), vec![a, entry("b", &["k2"])]);
+            assert_eq!(allowance(&found, "a"), Allowance::Denied);
+            assert_ne!(allowance(&found, "b"), Allowance::Denied);
             assert_eq!(owner(&found, "k1").as_deref(), Some("a"));
             assert_eq!(problems.len(), 1, "{field} {odd:?}");
         }
     }
-    let unit = Entry {
-        unit: GivenUnit::Odd,
+    let unit = WorkspaceEntry {
+        unit: RawUnit::Invalid,
         ..entry("a", &[])
     };
-    let (found, problems) = read(hasher(), vec![unit]);
-    assert_eq!(allowance(&found, "a"), Allowance::Closed);
-    assert_eq!(problems, [Problem::OddUnit("a".into())]);
+    let (found, problems) = read_entries(hasher(), vec![unit]);
+    assert_eq!(allowance(&found, "a"), Allowance::Denied);
+    assert_eq!(problems, [EntryProblem::InvalidUnit("a".into())]);
 }
 
 #[test]
 fn read_absent_rate_is_no_cap() {
-    for rate in [Given::Absent, Given::Number(0.0)] {
-        let open = Entry {
+    for rate in [RawNumber::Absent, RawNumber::Number(0.0)] {
+        let open = WorkspaceEntry {
             rate,
             ..entry("a", &["k1"])
         };
-        let (found, problems) = read(hasher(), vec![open]);
+        let (found, problems) = read_entries(hasher(), vec![open]);
         assert_eq!(allowance(&found, "a"), Allowance::Unlimited);
         assert!(problems.is_empty());
     }
@@ -128,88 +132,90 @@
 
 #[test]
 fn read_second_entry_lowers_cap() {
-    let low = Entry {
-        rate: Given::Number(2.0),
-        burst: Given::Number(9.0),
+    let low = WorkspaceEntry {
+        rate: RawNumber::Number(2.0),
+        burst: RawNumber::Number(9.0),
         ..entry("a", &["k2"])
     };
-    let (found, problems) = read(hasher(), vec![entry("a", &["k1"]), low]);
-    let cap = Cap {
-        unit: Unit::Requests,
+    let (found, problems) = read_entries(hasher(), vec![entry("a", &["k1"]), low]);
+    let cap = Quota {
+        unit: QuotaUnit::Requests,
         rate: 2.0,
         burst: 5.0,
     };
-    assert_eq!(allowance(&found, "a"), Allowance::Capped(cap));
+    assert_eq!(allowance(&found, "a"), Allowance::Limited(cap));
     assert_eq!(owner(&found, "k1"), owner(&found, "k2"));
-    assert_eq!(problems, [Problem::Twice("a".into())]);
+    assert_eq!(problems, [EntryProblem::DuplicateName("a".into())]);
 }
 
 #[test]
 fn read_odd_rank_comes_last() {
     for rank in [
-        Given::Odd,
-        Given::Number(1.5),
-        Given::Number(10.0),
-        Given::Number(-1.0),
+        RawNumber::Invalid,
+        RawNumber::Number(1.5),
+        RawNumber::Number(10.0),
+        RawNumber::Number(-1.0),
     ] {
-        let odd = Entry {
+        let odd = WorkspaceEntry {
             rank,
             ..entry("a", &[])
         };
-        let (found, problems) = read(hasher(), vec![odd]);
+        let (found, problems) = read_entries(hasher(), vec![odd]);
         assert_eq!(found.all()[0].rank, Some(9));
-        assert_eq!(problems, [Problem::OddRank("a".into())]);
+        assert_eq!(problems, [EntryProblem::InvalidRank("a".into())]);
     }
-    let first = Entry {
-        rank: Given::Number(0.0),
+    let first = WorkspaceEntry {
+        rank: RawNumber::Number(0.0),
         ..entry("a", &[])
     };
-    let (found, _) = read(hasher(), vec![first, entry("b", &[])]);
+    let (found, _) = read_entries(hasher(), vec![first, entry("b", &[])]);
     assert_eq!(found.all()[0].rank, Some(0));
     assert_eq!(found.all()[1].rank, None);
 }
 
 #[test]
 fn size_counts_by_unit() {
-    let tokens = Cap {
-        unit: Unit::Tokens { plain: 200 },
+    let tokens = Quota {
+        unit: QuotaUnit::Tokens {
+            default_tokens: 200,
+        },
         rate: 1.0,
         burst: 0.0,
     };
-    assert_eq!(tokens.size(Some(2_448)), 2_448);
-    assert_eq!(tokens.size(None), 200);
-    let requests = Cap {
-        unit: Unit::Requests,
+    assert_eq!(tokens.cost(Some(2_448)), 2_448);
+    assert_eq!(tokens.cost(None), 200);
+    let requests = Quota {
+        unit: QuotaUnit::Requests,
         ..tokens
     };
-    assert_eq!(requests.size(Some(2_448)), 1);
+    assert_eq!(requests.cost(Some(2_448)), 1);
 }
 
-fn given() -> impl Strategy<Value = Given> {
+fn given() -> impl Strategy<Value = RawNumber> {
     prop_oneof![
-        Just(Given::Absent),
-        Just(Given::Odd),
-        any::<f64>().prop_map(Given::Number),
-        (0u8..12).prop_map(|n| Given::Number(n.into())),
+        Just(RawNumber::Absent),
+        Just(RawNumber::Invalid),
+        any::<f64>().prop_map(RawNumber::Number),
+        (0u8..12).prop_map(|n| RawNumber::Number(n.into())),
     ]
 }
 
-fn any_entry() -> impl Strategy<Value = Entry> {
+fn any_entry() -> impl Strategy<Value = WorkspaceEntry> {
     let unit = prop_oneof![
-        Just(GivenUnit::Requests),
-        Just(GivenUnit::Tokens),
-        Just(GivenUnit::Odd)
+        Just(RawUnit::Requests),
+        Just(RawUnit::Tokens),
+        Just(RawUnit::Invalid)
     ];
     let keys = prop::collection::vec("[a-d]", 0..3);
     let numbers = (given(), given(), given(), given());
     ("[a-c]?", keys, unit, numbers).prop_map(|(name, keys, unit, (rank, plain, rate, burst))| {
-        Entry {
+        WorkspaceEntry {
             name,
             keys: keys.iter().map(|k| key(k)).collect(),
-            odd_keys: 0,
+            invalid_keys: 0,
             rank,
             unit,
-            plain,
+            default_tokens: plain,
             rate,
             burst,
         }
@@ -227,7 +233,7 @@
     /// no other does, and a cap is a positive number of units.
     #[test]
     fn read_any_entries(entries in prop::collection::vec(any_entry(), 0..6)) {
-        let (found, _) = read(hasher(), entries.clone());
+        let (found, _) = read_entries(hasher(), entries.clone());
         for text in ["a", "b", "c", "d"] {
             let listed = entries.iter().filter(|e| !e.name.is_empty());
             let mut listed: Vec<&str> = listed
@@ -241,7 +247,7 @@
             prop_assert_eq!(found.as_deref(), expected);
         }
         for workspace in found.all() {
-            if let Allowance::Capped(cap) = workspace.allowance {
+            if let Allowance::Limited(cap) = workspace.allowance {
                 prop_assert!(cap.rate > 0.0 && cap.rate.is_finite() && cap.burst >= 0.0);
             }
         }
--- a/crates/comfreyhall-workspace/src/workspace.rs
+++ b/crates/comfreyhall-workspace/src/workspace.rs
@@ -4,7 +4,7 @@
 
 use comfreyhall_protocol::Map;
 
-use crate::{Cap, KeyHash, KeyHasher, Name, PresentedKey};
+use crate::{KeyHash, KeyHasher, Name, PresentedKey, Quota};
 
 /// How much a workspace may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -12,9 +12,9 @@
     /// As much as it likes.
     Unlimited,
     /// Up to its cap.
-    Capped(Cap),
+    Limited(Quota),
     /// Nothing: its cap cannot be read.
-    Closed,
+    Denied,
 }
 
 /// A customer's own part of the deployment.
@@ -50,7 +50,7 @@
     }
 
     /// The workspace that `key` belongs to.
-    pub fn of(&self, key: &PresentedKey) -> Option<&Arc<Workspace>> {
+    pub fn find_by_key(&self, key: &PresentedKey) -> Option<&Arc<Workspace>> {
         self.by_key.get(&self.hasher.hash(key.bytes()))
     }
 
--- a/crates/comfreyhall-workspace/tests/fleet/mod.rs
+++ b/crates/comfreyhall-workspace/tests/fleet/mod.rs
@@ -10,8 +10,9 @@
 
 use comfreyhall_protocol::Map;
 use comfreyhall_workspace::{
-    Call, Cap, Entry, Fleet, Given, GivenUnit, Granting, Home, KeyHasher, Lending, Meter, Name,
-    Salt, Sharing, Taken, Tolerance, Unit, Workspaces, read,
+    FleetView, GrantingLimiter, KeyHasher, LendingLimiter, Name, PeerProcess, Quota, QuotaUnit,
+    RateLimiter, RawNumber, RawUnit, ReserveOutcome, Salt, SettleRequest, SharingLimiter,
+    Tolerance, WorkspaceEntry, Workspaces, read_entries,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -65,7 +66,7 @@
 /// A call that a frozen home has not read yet.
 struct Unread {
     home: usize,
-    call: Call,
+    call: SettleRequest,
 }
 
 /// What daemons that reach each other know together.
@@ -78,7 +79,7 @@
 }
 
 struct Daemon {
-    meter: Box<dyn Meter>,
+    meter: Box<dyn RateLimiter>,
     peer: Name,
     boot: u64,
     up: bool,
@@ -120,7 +121,7 @@
     daemons: Vec<Daemon>,
     holders: [usize; 2],
     /// Caps of each version of the configuration, and from when on it holds.
-    configs: Vec<(u64, Vec<Cap>)>,
+    configs: Vec<(u64, Vec<Quota>)>,
     /// When all daemons last came to have each version.
     settled: Vec<Option<u64>>,
     store_side: usize,
@@ -137,11 +138,11 @@
     pub focus: Vec<usize>,
 }
 
-fn meter(way: Way, tolerance: Tolerance, home: Home, now: u64) -> Box<dyn Meter> {
+fn meter(way: Way, tolerance: Tolerance, home: PeerProcess, now: u64) -> Box<dyn RateLimiter> {
     match way {
-        Way::Lending => Box::new(Lending::new(home, tolerance, now)),
-        Way::Sharing => Box::new(Sharing::new(home, tolerance)),
-        Way::Granting => Box::new(Granting::new(home)),
+        Way::Lending => Box::new(LendingLimiter::new(home, tolerance, now)),
+        Way::Sharing => Box::new(SharingLimiter::new(home, tolerance)),
+        Way::Granting => Box::new(GrantingLimiter::new(home)),
     }
 }
 
@@ -149,33 +150,35 @@
     format!("10.0.0.{at}:1").into()
 }
 
-fn workspaces(caps: &[Cap]) -> Workspaces {
-    let entries = caps.iter().enumerate().map(|(at, cap)| Entry {
+fn workspaces(caps: &[Quota]) -> Workspaces {
+    let entries = caps.iter().enumerate().map(|(at, cap)| WorkspaceEntry {
         name: format!("w{at}"),
-        unit: GivenUnit::Tokens,
-        plain: Given::Number(200.0),
-        rate: Given::Number(cap.rate),
-        burst: Given::Number(cap.burst),
-        ..Entry::default()
+        unit: RawUnit::Tokens,
+        default_tokens: RawNumber::Number(200.0),
+        rate: RawNumber::Number(cap.rate),
+        burst: RawNumber::Number(cap.burst),
+        ..WorkspaceEntry::default()
     });
     let hasher = KeyHasher::new(Salt::new([7; 32]));
-    let (workspaces, problems) = read(hasher, entries.collect());
+    let (workspaces, problems) = read_entries(hasher, entries.collect());
     assert!(problems.is_empty(), "{problems:?}");
     workspaces
 }
 
-pub fn cap(rate: f64) -> Cap {
-    Cap {
-        unit: Unit::Tokens { plain: 200 },
+pub fn cap(rate: f64) -> Quota {
+    Quota {
+        unit: QuotaUnit::Tokens {
+            default_tokens: 200,
+        },
         rate,
         burst: rate,
     }
 }
 
 /// A target's limit, in requests a second.
-pub fn limit(rate: f64) -> Cap {
-    Cap {
-        unit: Unit::Requests,
+pub fn limit(rate: f64) -> Quota {
+    Quota {
+        unit: QuotaUnit::Requests,
         rate,
         burst: 0.0,
     }
@@ -183,12 +186,12 @@
 
 impl World {
     /// A fleet that keeps the caps of workspaces, counted in tokens.
-    pub fn new(way: Way, daemons: usize, caps: Vec<Cap>, seed: u64) -> Self {
+    pub fn new(way: Way, daemons: usize, caps: Vec<Quota>, seed: u64) -> Self {
         Self::with(way, TOLERANCE, 400..4_800, daemons, caps, seed)
     }
 
     /// A fleet that keeps the limits of targets, counted in requests.
-    pub fn limits(way: Way, daemons: usize, caps: Vec<Cap>, seed: u64) -> Self {
+    pub fn limits(way: Way, daemons: usize, caps: Vec<Quota>, seed: u64) -> Self {
         Self::with(way, LIMIT_TOLERANCE, 1..2, daemons, caps, seed)
     }
 
@@ -197,7 +200,7 @@
         tolerance: Tolerance,
         sizes: Range<u64>,
         daemons: usize,
-        caps: Vec<Cap>,
+        caps: Vec<Quota>,
         seed: u64,
     ) -> Self {
         let count = caps.len();
@@ -243,8 +246,8 @@
 
     fn start(&self, at: usize, boot: u64) -> Daemon {
         let peer = peer_of(at);
-        let home = Home {
-            peer: peer.clone(),
+        let home = PeerProcess {
+            peer_addr: peer.clone(),
             boot,
         };
         let version = self.configs.len() - 1;
@@ -308,7 +311,7 @@
         self.holders[group] = holder;
     }
 
-    pub fn configure(&mut self, caps: Vec<Cap>) {
+    pub fn configure(&mut self, caps: Vec<Quota>) {
         self.configs.push((self.now, caps));
         self.settled.push(None);
     }
@@ -334,7 +337,7 @@
         for at in 0..self.size() {
             if self.active(at) {
                 self.meet(at);
-                for (group, home) in self.daemons[at].meter.due(self.now) {
+                for (group, home) in self.daemons[at].meter.due_settlements(self.now) {
                     self.settle(at, &group, &home);
                 }
             }
@@ -401,7 +404,7 @@
 
     fn meet(&mut self, at: usize) {
         let now = self.now;
-        let mut homes: Map<Name, Home> = Map::default();
+        let mut homes: Map<Name, PeerProcess> = Map::default();
         for (group, holder) in GROUPS.iter().zip(self.holders) {
             let heard = self.daemons[at].heard.get(&holder);
             let recent = heard.is_some_and(|h| now.saturating_sub(*h) <= SILENT_MS);
@@ -409,17 +412,17 @@
                 let holder = &self.daemons[holder];
                 homes.insert(
                     (*group).into(),
-                    Home {
-                        peer: holder.peer.clone(),
+                    PeerProcess {
+                        peer_addr: holder.peer.clone(),
                         boot: holder.boot,
                     },
                 );
             }
         }
         let daemon = &mut self.daemons[at];
-        let fleet = Fleet {
+        let fleet = FleetView {
             members: daemon.known.len(),
-            certain: daemon.certain,
+            confirmed: daemon.certain,
             stale: now.saturating_sub(daemon.store) >= STALE_MS,
         };
         if daemon.applied != daemon.version {
@@ -427,31 +430,31 @@
             let found = workspaces(&self.configs[daemon.version].1);
             daemon.meter.configure(&found, &GROUPS.map(Name::from), now);
         }
-        daemon.meter.meet(&homes, fleet, now);
+        daemon.meter.update_fleet(&homes, fleet, now);
     }
 
-    fn settle(&mut self, at: usize, group: &Name, home: &Home) {
+    fn settle(&mut self, at: usize, group: &Name, home: &PeerProcess) {
         let now = self.now;
-        let call = self.daemons[at].meter.call(group, home, now);
+        let call = self.daemons[at].meter.settle_request(group, home, now);
         self.calls += 1;
         self.lines += call.lines.len() as u64;
-        let to = self.daemons.iter().position(|d| d.peer == home.peer);
+        let to = self.daemons.iter().position(|d| d.peer == home.peer_addr);
         let to = to.expect("homes are daemons");
         let lost = self.rng.random_bool(self.loss);
         if lost || !self.joined(at, to) || !self.daemons[to].up {
-            self.daemons[at].meter.heard(group, home, None, now);
+            self.daemons[at].meter.handle_reply(group, home, None, now);
             return;
         }
         if !self.active(to) {
             self.unread.push(Unread { home: to, call });
-            self.daemons[at].meter.heard(group, home, None, now);
+            self.daemons[at].meter.handle_reply(group, home, None, now);
             return;
         }
         let met = self.daemons[to].met.get(&at).copied().unwrap_or(now);
-        let reply = self.daemons[to].meter.answer(&call, met, now);
+        let reply = self.daemons[to].meter.handle_settle(&call, met, now);
         let lost = self.rng.random_bool(self.loss);
         let reply = (!lost).then_some(&reply);
-        self.daemons[at].meter.heard(group, home, reply, now);
+        self.daemons[at].meter.handle_reply(group, home, reply, now);
     }
 
     /// Homes that were frozen read what came meanwhile.
@@ -468,7 +471,8 @@
                 .position(|d| *d.peer == *unread.call.from);
             let home = &mut self.daemons[unread.home];
             let met = from.and_then(|f| home.met.get(&f).copied());
-            home.meter.answer(&unread.call, met.unwrap_or(now), now);
+            home.meter
+                .handle_settle(&unread.call, met.unwrap_or(now), now);
         }
     }
 
@@ -495,16 +499,16 @@
         self.asked[workspace] += size;
         let name = format!("w{workspace}");
         let now = self.now;
-        self.daemons[at].meter.ask(&name, size, now);
-        let mut taken = self.daemons[at].meter.take(&name, size, now);
-        if matches!(taken, Taken::Ask(_)) {
-            for (group, home) in self.daemons[at].meter.due(now) {
+        self.daemons[at].meter.record_demand(&name, size, now);
+        let mut taken = self.daemons[at].meter.try_reserve(&name, size, now);
+        if matches!(taken, ReserveOutcome::Pending(_)) {
+            for (group, home) in self.daemons[at].meter.due_settlements(now) {
                 self.settle(at, &group, &home);
             }
-            taken = self.daemons[at].meter.take(&name, size, now);
+            taken = self.daemons[at].meter.try_reserve(&name, size, now);
         }
         match taken {
-            Taken::Granted => {
+            ReserveOutcome::Granted => {
                 let wait = self.rng.random_range(0..=WAIT_MS);
                 self.sent.push(Sent {
                     at: now + wait,
@@ -514,8 +518,10 @@
                     boot: self.daemons[at].boot,
                 });
             }
-            Taken::Over { .. } => self.refused[workspace] += size,
-            Taken::Ask(_) | Taken::Unsure { .. } => self.unsure[workspace] += size,
+            ReserveOutcome::OverQuota { .. } => self.refused[workspace] += size,
+            ReserveOutcome::Pending(_) | ReserveOutcome::UsageUnknown { .. } => {
+                self.unsure[workspace] += size
+            }
         }
     }
 
@@ -532,7 +538,7 @@
             }
             daemon
                 .meter
-                .sent(&format!("w{}", sent.workspace), sent.size);
+                .mark_sent(&format!("w{}", sent.workspace), sent.size);
             self.runs.push(Run {
                 at: self.now,
                 workspace: sent.workspace,
@@ -578,7 +584,7 @@
             };
             if *from <= end && until >= start {
                 let cap = &caps[workspace];
-                most = most.max(self.tolerance.allowed(cap) + self.tolerance.of(cap));
+                most = most.max(self.tolerance.allowed(cap) + self.tolerance.tolerated_excess(cap));
             }
         }
         most
--- a/crates/comfreyhall-workspace/tests/model.rs
+++ b/crates/comfreyhall-workspace/tests/model.rs
@@ -4,7 +4,7 @@
 
 mod fleet;
 
-use comfreyhall_workspace::{Cap, Unit};
+use comfreyhall_workspace::{Quota, QuotaUnit};
 use fleet::{Way, World, cap, limit};
 use proptest::prelude::*;
 
@@ -67,7 +67,7 @@
     run(world, caps, steps)
 }
 
-fn run(mut world: World, mut caps: Vec<Cap>, steps: &[Step]) -> World {
+fn run(mut world: World, mut caps: Vec<Quota>, steps: &[Step]) -> World {
     world.run(14_000);
     world.demand = vec![6.0, 6.0];
     for step in steps {
@@ -90,7 +90,7 @@
             Step::Hold(group, d) => world.hold(*group, *d),
             Step::Caps(a, b, burst) => {
                 // A target's limit has no burst.
-                let bursts = caps[0].burst > 0.0 || caps[0].unit != Unit::Requests;
+                let bursts = caps[0].burst > 0.0 || caps[0].unit != QuotaUnit::Requests;
                 caps[0].rate *= a;
                 caps[1].rate *= b;
                 if bursts {
