--- a/crates/comfreyhall-daemon/src/app.rs
+++ b/crates/comfreyhall-daemon/src/app.rs
@@ -11,7 +11,7 @@
 use comfreyhall_catalog::{Catalog, Follower, Labels, Table};
 use comfreyhall_lease::Lease;
 use comfreyhall_life::{Life, Stage};
-use comfreyhall_once::Once;
+use comfreyhall_once::IdempotencyClaims;
 use comfreyhall_placement::{EngineView, Policy};
 use comfreyhall_protocol::{
     Map, engine_client::EngineClient, instances_client::InstancesClient, link,
@@ -38,7 +38,7 @@
     pub(crate) settings: Settings,
     pub(crate) table: Table,
     pub(crate) follower: Follower,
-    pub(crate) once: Once,
+    pub(crate) once: IdempotencyClaims,
     pub(crate) objects: ObjectsClient<Channel>,
     pub(crate) listing: InstancesClient<Channel>,
     pub(crate) clients: Vec<EngineClient<Channel>>,
@@ -102,7 +102,7 @@
         Ok(Self {
             inner: Arc::new(Inner {
                 follower: Follower::new(catalog),
-                once: Once::new(table.clone(), instance.id.clone()),
+                once: IdempotencyClaims::new(table.clone(), instance.id.clone()),
                 table,
                 objects: ObjectsClient::new(link::channel(&settings.platform.objects)),
                 listing: InstancesClient::new(link::channel(&settings.platform.instances)),
--- a/crates/comfreyhall-daemon/src/claims.rs
+++ b/crates/comfreyhall-daemon/src/claims.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use comfreyhall_once::{Claim, Claimed, Doubt};
+use comfreyhall_once::{Claim, ClaimOutcome, UnconfirmedClaim};
 use comfreyhall_protocol::{GetObjectRequest, PutObjectRequest};
 
 use crate::{app::App, error::RouteError};
@@ -54,8 +54,8 @@
         let app = app.clone();
         tokio::spawn(async move {
             match asked.await {
-                Ok(Ok(Claimed::Mine(claim))) => release(&app, claim).await,
-                Ok(Ok(Claimed::Unsettled(doubt, _))) => abandon(&app, doubt),
+                Ok(Ok(ClaimOutcome::Acquired(claim))) => release(&app, claim).await,
+                Ok(Ok(ClaimOutcome::Unconfirmed(doubt, _))) => abandon(&app, doubt),
                 _ => {}
             }
         });
@@ -63,10 +63,10 @@
     };
     let claimed = joined.map_err(|e| RouteError::ClaimDown(e.to_string()))?;
     match claimed.map_err(|e| RouteError::ClaimDown(e.to_string()))? {
-        Claimed::Mine(claim) => Ok(Turn::Run(claim)),
-        Claimed::Done(object) => read_answer(app, object).await.map(Turn::Replay),
-        Claimed::Held => Err(RouteError::Held),
-        Claimed::Unsettled(doubt, why) => {
+        ClaimOutcome::Acquired(claim) => Ok(Turn::Run(claim)),
+        ClaimOutcome::Completed(object) => read_answer(app, object).await.map(Turn::Replay),
+        ClaimOutcome::HeldByOther => Err(RouteError::Held),
+        ClaimOutcome::Unconfirmed(doubt, why) => {
             abandon(app, doubt);
             Err(RouteError::ClaimDown(why.to_string()))
         }
@@ -77,13 +77,13 @@
 ///
 /// One look that finds no row is not the last: the commit may still be on
 /// its way.
-fn abandon(app: &App, doubt: Doubt) {
+fn abandon(app: &App, doubt: UnconfirmedClaim) {
     let app = app.clone();
     tokio::spawn(async move {
         let mut answered = 0;
         for _ in 0..TRIES {
             tokio::time::sleep(ABANDON_PAUSE).await;
-            if app.inner.once.abandon(&doubt).await.is_ok() {
+            if app.inner.once.release_unconfirmed(&doubt).await.is_ok() {
                 answered += 1;
             }
             if answered == ABANDON_LOOKS {
@@ -133,7 +133,7 @@
         let _tracked = tracked;
         for _ in 0..TRIES {
             if put_answer(&app, &object, &answer).await
-                && app.inner.once.finish(&claim, &object).await.is_ok()
+                && app.inner.once.record_answer(&claim, &object).await.is_ok()
             {
                 return;
             }
--- a/crates/comfreyhall-inforce/src/in_force.rs
+++ b/crates/comfreyhall-inforce/src/in_force.rs
@@ -6,61 +6,61 @@
 
 /// How settings came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Way {
+pub enum Source {
     /// Read in the store.
     Store,
     /// Told by the daemon of this id.
     Peer(Name),
 }
 
-impl Way {
+impl Source {
     /// A word for metrics.
-    pub fn kind(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
-            Way::Store => "store",
-            Way::Peer(_) => "peer",
+            Source::Store => "store",
+            Source::Peer(_) => "peer",
         }
     }
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Source {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Way::Store => f.write_str("store"),
-            Way::Peer(id) => f.write_str(id),
+            Source::Store => f.write_str("store"),
+            Source::Peer(id) => f.write_str(id),
         }
     }
 }
 
 /// A newer version that somebody has, and that is not known here.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct NewerVersion {
     /// The version.
     pub version: u64,
     /// Who told of it first.
-    pub from: Name,
+    pub reported_by: Name,
     /// Since when a newer version than the one here has been known of.
-    pub since: u64,
+    pub since_ms: u64,
 }
 
 /// How the newest settings came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
+pub struct AppliedVersion {
     /// The version of the newest row.
     pub version: u64,
     /// The one before it, in this start of the daemon; 0 for none.
     pub previous: u64,
     /// How it came.
-    pub way: Way,
+    pub source: Source,
     /// When.
-    pub at: u64,
+    pub applied_at_ms: u64,
     /// Ms since it was first heard of, or since it was asked for.
-    pub waited: u64,
+    pub waited_ms: u64,
 }
 
 /// What a request may be judged by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Freshness {
     /// Every version accepted longer ago than the bound is known.
     Current,
     /// A newer version may have been accepted longer ago than the bound.
@@ -69,26 +69,26 @@
 
 /// What to do about a newer version that was heard of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum CatchUp {
     /// None was heard of.
-    Rest,
+    Idle,
     /// The store is about to give it; look again after so many ms.
     Wait(u64),
     /// The store does not give it: a daemon that has it is asked.
-    Ask,
+    AskPeer,
 }
 
 /// What is known of the settings.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct SettingsTracker {
     /// Version of the newest row.
     newest: u64,
     /// Every row up to this version is known.
     covers: u64,
     /// The store said at this moment, or later, that there was nothing beyond.
     as_of: Option<u64>,
-    heard: Option<Heard>,
-    taken: Option<Taken>,
+    heard: Option<NewerVersion>,
+    taken: Option<AppliedVersion>,
     /// Since when the store has not answered this daemon.
     away: Option<u64>,
     /// Whether an answer of the store is on its way.
@@ -98,52 +98,52 @@
     unread: bool,
 }
 
-impl InForce {
+impl SettingsTracker {
     /// Version of the newest row: what other daemons are told.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
     /// Every row up to this version is known.
-    pub fn covers(&self) -> u64 {
+    pub fn complete_to(&self) -> u64 {
         self.covers
     }
 
     /// How the newest settings came.
-    pub fn taken(&self) -> Option<&Taken> {
+    pub fn last_applied(&self) -> Option<&AppliedVersion> {
         self.taken.as_ref()
     }
 
     /// The newest version heard of, if it is not known here.
-    pub fn heard(&self) -> Option<&Heard> {
+    pub fn newer_version(&self) -> Option<&NewerVersion> {
         self.heard.as_ref()
     }
 
     /// Since when the store has not answered this daemon.
-    pub fn away(&self) -> Option<u64> {
+    pub fn store_down_since(&self) -> Option<u64> {
         self.away
     }
 
     /// Ms since the store said what is known here; the most there is if it never
     /// did.
-    pub fn age(&self, now: u64) -> u64 {
+    pub fn age_ms(&self, now: u64) -> u64 {
         self.as_of.map_or(u64::MAX, |at| now.saturating_sub(at))
     }
 
     /// For how long a newer version has been known of, in ms.
-    pub fn behind_ms(&self, now: u64) -> u64 {
-        let since = self.heard.as_ref().map(|h| h.since);
+    pub fn lag_ms(&self, now: u64) -> u64 {
+        let since = self.heard.as_ref().map(|h| h.since_ms);
         since.map_or(0, |since| now.saturating_sub(since))
     }
 
     /// An answer of the store has begun to come.
-    pub fn store_began(&mut self) {
+    pub fn store_read_started(&mut self) {
         self.arriving = true;
     }
 
     /// The store answered that every row up to `covers` is known now, and that at
     /// `as_of` there were no others.
-    pub fn store_said(&mut self, covers: u64, as_of: u64) {
+    pub fn store_confirmed(&mut self, covers: u64, as_of: u64) {
         self.away = None;
         self.arriving = false;
         self.reach(covers);
@@ -158,7 +158,7 @@
 
     /// Another daemon has `newest` as its newest row, and the store said at
     /// `as_of`, if it is known, that there was nothing beyond.
-    pub fn peer_said(&mut self, from: &Name, newest: u64, as_of: Option<u64>, now: u64) {
+    pub fn peer_reported(&mut self, from: &Name, newest: u64, as_of: Option<u64>, now: u64) {
         if newest > self.covers {
             self.hear(from, newest, now);
             return;
@@ -173,42 +173,42 @@
 
     /// Whether rows that make up all changes after `since` fit what is known: with
     /// a gap before them they would pass for everything up to their newest.
-    pub fn fits(&self, since: u64) -> bool {
+    pub fn is_contiguous(&self, since: u64) -> bool {
         since <= self.covers
     }
 
     /// A row of this version is in force now. `asked`: when it was asked for.
-    pub fn take(&mut self, version: u64, way: &Way, asked: u64, now: u64) {
+    pub fn apply(&mut self, version: u64, way: &Source, asked: u64, now: u64) {
         if version <= self.newest {
             return;
         }
         let heard = self.heard.as_ref().filter(|h| h.version >= version);
-        let begun = heard.map_or(asked, |h| h.since.min(asked));
-        self.taken = Some(Taken {
+        let begun = heard.map_or(asked, |h| h.since_ms.min(asked));
+        self.taken = Some(AppliedVersion {
             version,
             previous: self.newest,
-            way: way.clone(),
-            at: now,
-            waited: now.saturating_sub(begun),
+            source: way.clone(),
+            applied_at_ms: now,
+            waited_ms: now.saturating_sub(begun),
         });
         self.newest = version;
         self.reach(version);
     }
 
     /// Every row up to `newest` is known: another daemon gave them all.
-    pub fn peer_gave(&mut self, newest: u64) {
+    pub fn peer_completed(&mut self, newest: u64) {
         self.reach(newest);
     }
 
     /// What to do about a newer version; the store has `patience` ms for it.
-    pub fn step(&self, now: u64, patience: u64) -> Step {
-        let left = patience.saturating_sub(self.behind_ms(now));
+    pub fn next_step(&self, now: u64, patience: u64) -> CatchUp {
+        let left = patience.saturating_sub(self.lag_ms(now));
         match (&self.heard, self.away) {
-            (None, _) => Step::Rest,
+            (None, _) => CatchUp::Idle,
             // A second transfer beside it would slow both down.
-            (Some(_), _) if self.arriving => Step::Wait(patience),
-            (Some(_), None) if left > 0 => Step::Wait(left),
-            (Some(_), _) => Step::Ask,
+            (Some(_), _) if self.arriving => CatchUp::Wait(patience),
+            (Some(_), None) if left > 0 => CatchUp::Wait(left),
+            (Some(_), _) => CatchUp::AskPeer,
         }
     }
 
@@ -219,10 +219,10 @@
 
     /// What a request may be judged by; `bound`: Ms in which an accepted version
     /// has to be in force.
-    pub fn verdict(&self, now: u64, bound: u64) -> Verdict {
-        match self.unread || self.heard.is_some() || self.age(now) > bound {
-            true => Verdict::Stale,
-            false => Verdict::Current,
+    pub fn freshness(&self, now: u64, bound: u64) -> Freshness {
+        match self.unread || self.heard.is_some() || self.age_ms(now) > bound {
+            true => Freshness::Stale,
+            false => Freshness::Current,
         }
     }
 
@@ -231,13 +231,13 @@
             Some(heard) if heard.version >= version => {}
             Some(heard) => {
                 heard.version = version;
-                heard.from = from.clone();
+                heard.reported_by = from.clone();
             }
             None => {
-                self.heard = Some(Heard {
+                self.heard = Some(NewerVersion {
                     version,
-                    from: from.clone(),
-                    since: now,
+                    reported_by: from.clone(),
+                    since_ms: now,
                 });
             }
         }
--- a/crates/comfreyhall-inforce/src/lib.rs
+++ b/crates/comfreyhall-inforce/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which settings are in force on a daemon, and what may be judged by them.
 //!
 //! Settings are rows of the platform's store, with versions from one counter. A
-//! daemon learns them from the store or from other daemons. [`InForce`] is the one
+//! daemon learns them from the store or from other daemons. [`SettingsTracker`] is the one
 //! owner of how far that knowledge reaches: which version is in force, how it came,
 //! how old it may be, what newer version was heard of, and whether the store
 //! answers. What goes wrong when each caller works that out for itself: rows that
@@ -13,7 +13,7 @@
 
 mod in_force;
 
-pub use in_force::{Heard, InForce, Step, Taken, Verdict, Way};
+pub use in_force::{AppliedVersion, CatchUp, Freshness, NewerVersion, SettingsTracker, Source};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-inforce/tests/model.rs
+++ b/crates/comfreyhall-inforce/tests/model.rs
@@ -1,13 +1,13 @@
 //! Daemons that learn from a store and from each other, whose messages come late,
 //! in any order or never, and that start again in between.
 //!
-//! A model of the fleet around [`InForce`]: it knows what was accepted when, and
+//! A model of the fleet around [`SettingsTracker`]: it knows what was accepted when, and
 //! which rows each daemon really has.
 
 use std::collections::BTreeSet;
 
 use comfreyhall_domain::Name;
-use comfreyhall_inforce::{InForce, Verdict, Way};
+use comfreyhall_inforce::{Freshness, SettingsTracker, Source};
 use proptest::prelude::*;
 
 const DAEMONS: usize = 4;
@@ -18,7 +18,7 @@
 /// One start of a daemon.
 #[derive(Default)]
 struct Daemon {
-    known: InForce,
+    known: SettingsTracker,
     rows: BTreeSet<u64>,
     start: u64,
     boot: u64,
@@ -33,10 +33,10 @@
         t - self.start + 1
     }
 
-    fn take(&mut self, rows: &BTreeSet<u64>, way: &Way, now: u64) {
+    fn take(&mut self, rows: &BTreeSet<u64>, way: &Source, now: u64) {
         for row in rows {
             self.rows.insert(*row);
-            self.known.take(*row, way, now, now);
+            self.known.apply(*row, way, now, now);
         }
     }
 }
@@ -170,7 +170,7 @@
             heard_boot,
             echoed_at,
             newest: sender.known.newest(),
-            age: sender.known.age(now),
+            age: sender.known.age_ms(now),
             since,
             rows: rows.copied().collect(),
         };
@@ -188,8 +188,8 @@
                 covers,
             } => {
                 if boot == daemon.boot {
-                    daemon.take(&rows, &Way::Store, now);
-                    daemon.known.store_said(covers, asked);
+                    daemon.take(&rows, &Source::Store, now);
+                    daemon.known.store_confirmed(covers, asked);
                 }
             }
             Message::News {
@@ -204,12 +204,12 @@
                 rows,
             } => {
                 let name: Name = format!("n{from}").into();
-                if daemon.known.fits(since) {
-                    daemon.take(&rows, &Way::Peer(name.clone()), now);
+                if daemon.known.is_contiguous(since) {
+                    daemon.take(&rows, &Source::Peer(name.clone()), now);
                 }
                 let known = heard_boot == daemon.boot && echoed_at > 0 && age != u64::MAX;
                 let as_of = known.then(|| echoed_at.checked_sub(age)).flatten();
-                daemon.known.peer_said(&name, newest, as_of, now);
+                daemon.known.peer_reported(&name, newest, as_of, now);
                 daemon.heard[from] = (boot, sent_at);
                 daemon.held[from] = newest;
             }
@@ -223,12 +223,12 @@
                 let mut versions = self.accepted.iter().map(|(v, _)| *v);
                 versions.all(|known| known > v || daemon.rows.contains(&known))
             };
-            assert!(all_up_to(daemon.known.covers()), "a gap");
+            assert!(all_up_to(daemon.known.complete_to()), "a gap");
             if before.0 == daemon.boot {
                 assert!(daemon.known.newest() >= before.1, "went back");
             }
             let now = daemon.clock(self.t);
-            if daemon.known.verdict(now, BOUND) == Verdict::Current {
+            if daemon.known.freshness(now, BOUND) == Freshness::Current {
                 let due = self.accepted.iter().filter(|(_, at)| at + BOUND < self.t);
                 let due = due.map(|(v, _)| *v).max().unwrap_or(0);
                 assert!(all_up_to(due), "current without what is due");
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -85,7 +85,7 @@
     let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
     let homes = homes.collect();
     let members = node.fleet.members(now);
-    let stale = node.view().book.in_force.age(now) > STALE_MS;
+    let stale = node.view().book.in_force.age_ms(now) > STALE_MS;
     Met {
         homes,
         fleet: FleetView {
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use comfreyhall_domain::{Config, Map, Name, PriorityTable, Stage, Target};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_inforce::{SettingsTracker, Source};
 
 use crate::{
     node::{Named, Node, View},
@@ -23,7 +23,7 @@
     /// Newest version covered.
     pub(crate) version: u64,
     /// When the store said what is known here, to us or to a peer; of the settings
-    /// [`InForce`] knows it.
+    /// [`SettingsTracker`] knows it.
     pub(crate) as_of: u64,
 }
 
@@ -49,7 +49,7 @@
     pub(crate) settings: Shelf,
     pub(crate) targets: Shelf,
     /// How far the settings reach.
-    pub(crate) in_force: InForce,
+    pub(crate) in_force: SettingsTracker,
 }
 
 impl Book {
@@ -64,14 +64,14 @@
 /// Where rows came from, and when they were asked for.
 #[derive(Debug)]
 pub(crate) struct Provenance {
-    pub(crate) way: Way,
+    pub(crate) way: Source,
     pub(crate) asked: u64,
 }
 
 impl Provenance {
     /// The store's answer to a call that began at `asked`.
     pub(crate) fn store(asked: u64) -> Self {
-        let way = Way::Store;
+        let way = Source::Store;
         Self { way, asked }
     }
 }
@@ -90,7 +90,7 @@
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.book.in_force.take(fact.version, way, *asked, now);
+            view.book.in_force.apply(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
         let shelf = view.book.shelf(topic);
@@ -194,14 +194,15 @@
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
 fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Fact) {
-    let Some(taken) = view.book.in_force.taken() else {
+    let Some(taken) = view.book.in_force.last_applied() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
-    node.metrics.settings(taken.way.kind(), bytes, taken.waited);
+    node.metrics
+        .settings(taken.source.label(), bytes, taken.waited_ms);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.book.in_force.age(taken.at);
-    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
+    let age = view.book.in_force.age_ms(taken.applied_at_ms);
+    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
 /// Sends nothing new to the target listed under `name`, whose entry cannot be
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use comfreyhall_domain::Name;
-use comfreyhall_inforce::{Step, Way};
+use comfreyhall_inforce::{CatchUp, Source};
 use comfreyhall_protocol::{
     SettingsAsk, SettingsPart, SettingsRows, fleet_client::FleetClient, link,
 };
@@ -173,11 +173,11 @@
 async fn catch_up(node: &Arc<Node>) -> Option<Duration> {
     // The other parts are left for finding one that has it, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
-    let step = node.view().book.in_force.step(node.now(), patience);
+    let step = node.view().book.in_force.next_step(node.now(), patience);
     match step {
-        Step::Rest => return None,
-        Step::Wait(ms) => return Some(Duration::from_millis(ms)),
-        Step::Ask => {}
+        CatchUp::Idle => return None,
+        CatchUp::Wait(ms) => return Some(Duration::from_millis(ms)),
+        CatchUp::AskPeer => {}
     }
     let Some(giver) = node.fleet.giver(node) else {
         return Some(NOBODY_PAUSE);
@@ -205,25 +205,25 @@
 /// Takes in what the daemon at `addr` hands over.
 async fn fetch(node: &Arc<Node>, addr: &str) -> Result<(), FetchError> {
     let asked = node.now();
-    let since = node.view().book.in_force.covers();
+    let since = node.view().book.in_force.complete_to();
     let transfer = collect(node, addr, since);
     let rows = match tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await {
         Ok(rows) => rows?,
         Err(_) => return Err(FetchError::Failed("it takes too long".to_string())),
     };
     let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Odd("not rows"))?;
-    if !node.view().book.in_force.fits(rows.since) {
+    if !node.view().book.in_force.is_contiguous(rows.since) {
         return Err(FetchError::Odd("a gap before them"));
     }
     let newest = rows.newest;
     let rows: Vec<Fact> = rows.rows.into_iter().map(news::from_wire).collect();
     let origin = Provenance {
-        way: Way::Peer(node.fleet.id_of(addr)),
+        way: Source::Peer(node.fleet.id_of(addr)),
         asked,
     };
     let version = newest;
     facts::apply(node, Topic::Settings, Facts { rows, version }, &origin);
-    node.view().book.in_force.peer_gave(newest);
+    node.view().book.in_force.peer_completed(newest);
     follow::settle(node);
     Ok(())
 }
@@ -256,7 +256,7 @@
 impl Fleet {
     /// A daemon that has newer settings, drawn among those that have the newest.
     fn giver(&self, node: &Node) -> Option<Name> {
-        let known = node.view().book.in_force.covers();
+        let known = node.view().book.in_force.complete_to();
         let now = node.now();
         let state = self.state();
         let newest = state.heard(now).map(|(_, p)| p.settings).max()?;
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use comfreyhall_domain::{Map, Name, Set};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_inforce::{SettingsTracker, Source};
 use comfreyhall_protocol::{Daemon, Demand, EngineRun, Holding, News, TargetWork};
 use comfreyhall_quarantine::Heard;
 use comfreyhall_routing::{Standing, Work};
@@ -101,7 +101,7 @@
         let targets = view.book.shelf(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.in_force.age(now);
+        let settings_age = view.book.in_force.age_ms(now);
         let settings_version = view.book.in_force.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
@@ -110,7 +110,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.in_force.behind_ms(now);
+        let behind_ms = view.book.in_force.lag_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -227,12 +227,12 @@
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.in_force.fits(news.settings_since) {
+        let settings = match node.view().book.in_force.is_contiguous(news.settings_since) {
             true => news.settings,
             false => Vec::new(),
         };
         let origin = Provenance {
-            way: Way::Peer(peer.clone()),
+            way: Source::Peer(peer.clone()),
             asked: now,
         };
         for (topic, rows) in [(Topic::Settings, settings), (Topic::Targets, news.targets)] {
@@ -249,10 +249,10 @@
             view.book.targets.confirm(now.saturating_sub(age));
         }
         let in_force = &mut view.book.in_force;
-        let before = in_force.heard().map(|h| h.version);
-        in_force.peer_said(&peer, settings_version, settings_as_of, now);
+        let before = in_force.newer_version().map(|h| h.version);
+        in_force.peer_reported(&peer, settings_version, settings_as_of, now);
         tell_heard(in_force, before, now);
-        let lacking = in_force.heard().is_some();
+        let lacking = in_force.newer_version().is_some();
         drop(view);
         if lacking {
             self.wake_fetch();
@@ -320,13 +320,18 @@
 
 /// Notes a newer version of the settings that was just heard of, and why it may
 /// take time to come.
-fn tell_heard(in_force: &InForce, before: Option<u64>, now: u64) {
-    let Some(heard) = in_force.heard().filter(|h| Some(h.version) != before) else {
+fn tell_heard(in_force: &SettingsTracker, before: Option<u64>, now: u64) {
+    let Some(heard) = in_force
+        .newer_version()
+        .filter(|h| Some(h.version) != before)
+    else {
         return;
     };
-    let (row, age) = (in_force.newest(), in_force.age(now));
-    let away = in_force.away().map_or(0, |since| now.saturating_sub(since));
-    log::info!(target: "follow", newer = heard.version, peer:% = heard.from, row, age, away, behind = in_force.behind_ms(now); "newer settings heard of");
+    let (row, age) = (in_force.newest(), in_force.age_ms(now));
+    let away = in_force
+        .store_down_since()
+        .map_or(0, |since| now.saturating_sub(since));
+    log::info!(target: "follow", newer = heard.version, peer:% = heard.reported_by, row, age, away, behind = in_force.lag_ms(now); "newer settings heard of");
 }
 
 impl State {
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -277,7 +277,7 @@
         heard_boot,
         ..news(0, Vec::new())
     };
-    let age = || node.view().book.in_force.age(5_000);
+    let age = || node.view().book.in_force.age_ms(5_000);
     let boot = node.fleet.boot();
     // The last one says that the store told it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -89,7 +89,10 @@
                 let covers = facts.version;
                 let origin = Provenance::store(times.asked);
                 facts::apply(&node, Topic::Settings, facts, &origin);
-                node.view().book.in_force.store_said(covers, times.as_of);
+                node.view()
+                    .book
+                    .in_force
+                    .store_confirmed(covers, times.as_of);
                 settle(&node);
             }
             Err(SourceError::Forgotten) => after = None,
@@ -143,7 +146,7 @@
 
 /// The rest of an answer that has begun to come.
 async fn arrival(node: &Node, rest: Arriving) -> Result<Facts, SourceError> {
-    node.view().book.in_force.store_began();
+    node.view().book.in_force.store_read_started();
     rest.await
 }
 
@@ -188,7 +191,7 @@
             return Ok(found);
         }
         let (covers, as_of) = (found.facts.version, found.times.as_of);
-        node.view().book.in_force.store_said(covers, as_of);
+        node.view().book.in_force.store_confirmed(covers, as_of);
     }
 }
 
@@ -198,7 +201,7 @@
     let bound = node.settings().bounds.apply_ms as f64;
     let due = (bound * rand::rng().random_range(LOOK_PARTS)) as u64;
     loop {
-        let age = node.view().book.in_force.age(node.now());
+        let age = node.view().book.in_force.age_ms(node.now());
         if age >= due {
             return;
         }
@@ -223,11 +226,11 @@
 /// young enough, and nobody tells of anything newer.
 async fn await_untold(node: &Node) {
     loop {
-        if node.view().book.in_force.heard().is_some() {
+        if node.view().book.in_force.newer_version().is_some() {
             return;
         }
         let most = 2 * node.settings().bounds.apply_ms / PARTS_PER_APPLY;
-        let age = node.view().book.in_force.age(node.now());
+        let age = node.view().book.in_force.age_ms(node.now());
         if !node.fleet.large() || holding(node) || age > most {
             return;
         }
@@ -281,7 +284,7 @@
     fn note(&mut self, node: &Node, answer: &Result<Facts, SourceError>, began: u64) {
         let topic = self.topic;
         let now = node.now();
-        let (waited, age) = (now - began, node.view().book.in_force.age(now));
+        let (waited, age) = (now - began, node.view().book.in_force.age_ms(now));
         node.metrics.store(topic, answer.is_ok());
         match answer {
             Ok(facts) if self.down => {
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that targets name, known to all daemons and kept by them together.
 //!
 //! The holder of a group's lease grants what the group's targets take
-//! ([`Granting`](comfreyhall_workspace::Granting)): it binds the runs there as
+//! ([`GrantingLimiter`](comfreyhall_workspace::Granting)): it binds the runs there as
 //! well, and there is one of it. It hears of a limit from its own answers or
 //! from those who ask it, and tells all others with its news.
 
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -1,7 +1,7 @@
 //! Who calls, whether that still holds, and whether it may use more.
 
 use comfreyhall_domain::{Allowance, Answer, Caller, ClientRequest, Config, Route, answer_for};
-use comfreyhall_inforce::{InForce, Taken, Verdict};
+use comfreyhall_inforce::{AppliedVersion, Freshness, SettingsTracker};
 
 use super::{Job, NOT_READY_MS, Reply};
 use crate::{
@@ -67,16 +67,16 @@
 }
 
 impl Basis {
-    pub(super) fn of(known: &InForce, now: u64) -> Self {
+    pub(super) fn of(known: &SettingsTracker, now: u64) -> Self {
         let since = |at: u64| now.saturating_sub(at);
-        let from = |taken: &Taken| taken.way.to_string();
+        let from = |taken: &AppliedVersion| taken.source.to_string();
         Self {
             row: known.newest(),
-            from: known.taken().map_or_else(String::new, from),
-            held: known.taken().map_or(0, |t| since(t.at)),
-            age: known.age(now),
-            newer: known.heard().map_or(0, |h| h.version),
-            away: known.away().map_or(0, since),
+            from: known.last_applied().map_or_else(String::new, from),
+            held: known.last_applied().map_or(0, |t| since(t.applied_at_ms)),
+            age: known.age_ms(now),
+            newer: known.newer_version().map_or(0, |h| h.version),
+            away: known.store_down_since().map_or(0, since),
         }
     }
 }
@@ -86,8 +86,8 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().book.in_force.verdict(self.now(), bound);
-        verdict == Verdict::Stale
+        let verdict = self.view().book.in_force.freshness(self.now(), bound);
+        verdict == Freshness::Stale
     }
 
     /// Whether no key counts any more, since it may have been taken back.
@@ -96,7 +96,7 @@
             return false;
         };
         let now = self.now();
-        self.view().book.in_force.age(now) > most
+        self.view().book.in_force.age_ms(now) > most
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
--- a/crates/comfreyhall-once/src/lib.rs
+++ b/crates/comfreyhall-once/src/lib.rs
@@ -16,8 +16,8 @@
 //!   outcome is unknown, never that it did not run.
 //!
 //! A claimer that proves the request did not run gives the claim back
-//! ([`Once::release`]), so a retry may run. A claimer that has the answer
-//! records that ([`Once::finish`]), so a retry gets the same answer.
+//! ([`IdempotencyClaims::release`]), so a retry may run. A claimer that has the answer
+//! records that ([`IdempotencyClaims::record_answer`]), so a retry gets the same answer.
 
 use std::sync::Arc;
 
@@ -53,28 +53,28 @@
 
 /// A claim that was sent and may or may not have been written.
 #[derive(Debug)]
-pub struct Doubt {
+pub struct UnconfirmedClaim {
     key: String,
     record: Record,
 }
 
 /// What became of asking for a claim.
 #[derive(Debug)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// Ours: send the request once, then finish or release the claim.
-    Mine(Claim),
+    Acquired(Claim),
     /// The request ran; this is where its answer is kept.
-    Done(String),
+    Completed(String),
     /// Another attempt holds the key and its outcome is not known here.
-    Held,
+    HeldByOther,
     /// The table did not say. The request must not be sent, so it does not
-    /// run; [`Once::abandon`] gives the key back if it was claimed after all.
-    Unsettled(Doubt, CatalogError),
+    /// run; [`IdempotencyClaims::release_unconfirmed`] gives the key back if it was claimed after all.
+    Unconfirmed(UnconfirmedClaim, CatalogError),
 }
 
 /// Claims in the table service, made by one instance.
 #[derive(Clone)]
-pub struct Once<R: Rows = Table> {
+pub struct IdempotencyClaims<R: Rows = Table> {
     table: R,
     owner: Arc<str>,
 }
@@ -87,7 +87,7 @@
     serde_json::to_vec(record).expect("claim records serialise")
 }
 
-impl<R: Rows> Once<R> {
+impl<R: Rows> IdempotencyClaims<R> {
     /// Claims in `table`, made in the name of instance `owner`.
     pub fn new(table: R, owner: Arc<str>) -> Self {
         Self { table, owner }
@@ -97,7 +97,7 @@
     ///
     /// Any error means the request must not be sent: it did not run and
     /// will not run in this attempt.
-    pub async fn claim(&self, key: &str, request: &str) -> Result<Claimed, CatalogError> {
+    pub async fn claim(&self, key: &str, request: &str) -> Result<ClaimOutcome, CatalogError> {
         let record = Record {
             claim: rand::random(),
             owner: self.owner.clone(),
@@ -109,7 +109,7 @@
         let checks = vec![check(&row, 0)];
         let puts = vec![put(&row, encode(&record))];
         match self.table.commit(checks, puts).await {
-            Ok(versions) => Ok(Claimed::Mine(Claim {
+            Ok(versions) => Ok(ClaimOutcome::Acquired(Claim {
                 key: row,
                 record,
                 version: versions.first().copied().unwrap_or(0),
@@ -129,7 +129,7 @@
         row: &str,
         record: Record,
         why: CatalogError,
-    ) -> Result<Claimed, CatalogError> {
+    ) -> Result<ClaimOutcome, CatalogError> {
         for _ in 0..SETTLE_TRIES {
             match self.table.get(row).await {
                 Ok(Some(found)) => return read(row, &found, record),
@@ -137,11 +137,11 @@
                 Err(_) => {}
             }
         }
-        let doubt = Doubt {
+        let doubt = UnconfirmedClaim {
             key: row.to_string(),
             record,
         };
-        Ok(Claimed::Unsettled(doubt, why))
+        Ok(ClaimOutcome::Unconfirmed(doubt, why))
     }
 
     /// Gives the key back if a claim in doubt was written after all.
@@ -149,18 +149,18 @@
     /// Without it such a key answers "held" for good, though nothing ran. A
     /// claim that arrives even later is not found; its key then does answer
     /// "held", which is safe.
-    pub async fn abandon(&self, doubt: &Doubt) -> Result<(), CatalogError> {
+    pub async fn release_unconfirmed(&self, doubt: &UnconfirmedClaim) -> Result<(), CatalogError> {
         let Some(found) = self.table.get(&doubt.key).await? else {
             return Ok(());
         };
         match read(&doubt.key, &found, doubt.record.clone())? {
-            Claimed::Mine(claim) => self.release(&claim).await,
+            ClaimOutcome::Acquired(claim) => self.release(&claim).await,
             _ => Ok(()),
         }
     }
 
     /// Reads the row that beat our claim to the key.
-    async fn taken(&self, row: &str, record: Record) -> Result<Claimed, CatalogError> {
+    async fn taken(&self, row: &str, record: Record) -> Result<ClaimOutcome, CatalogError> {
         match self.table.get(row).await? {
             Some(found) => read(row, &found, record),
             // Released since: the caller may come back and claim it.
@@ -183,7 +183,7 @@
     }
 
     /// Records where the answer of a finished request is kept.
-    pub async fn finish(&self, claim: &Claim, answer: &str) -> Result<(), CatalogError> {
+    pub async fn record_answer(&self, claim: &Claim, answer: &str) -> Result<(), CatalogError> {
         let mut record = claim.record.clone();
         record.answer = Some(answer.to_string());
         let checks = vec![check(&claim.key, claim.version)];
@@ -196,18 +196,20 @@
 }
 
 /// What a claim row says to the attempt that tried `ours`.
-fn read(row: &str, found: &Row, ours: Record) -> Result<Claimed, CatalogError> {
+fn read(row: &str, found: &Row, ours: Record) -> Result<ClaimOutcome, CatalogError> {
     let record: Record =
         serde_json::from_slice(&found.value).map_err(|e| CatalogError::Invalid {
             problem: format!("row {row} does not hold a claim: {e}"),
             remedy: "delete the row once its request is known not to run",
         })?;
     if record.claim == ours.claim {
-        return Ok(Claimed::Mine(Claim {
+        return Ok(ClaimOutcome::Acquired(Claim {
             key: row.to_string(),
             record,
             version: found.version,
         }));
     }
-    Ok(record.answer.map_or(Claimed::Held, Claimed::Done))
+    Ok(record
+        .answer
+        .map_or(ClaimOutcome::HeldByOther, ClaimOutcome::Completed))
 }
--- a/crates/comfreyhall-once/tests/once_fuzz.rs
+++ b/crates/comfreyhall-once/tests/once_fuzz.rs
@@ -9,7 +9,7 @@
 
 use comfreyhall_catalog::CatalogError;
 use comfreyhall_fakes::{FakeTable, Fate, Free, Steps, fates};
-use comfreyhall_once::{Claim, Claimed, Doubt, Once};
+use comfreyhall_once::{Claim, ClaimOutcome, IdempotencyClaims, UnconfirmedClaim};
 use proptest::prelude::*;
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
 
@@ -76,11 +76,11 @@
 
 struct Daemon {
     table: FakeTable,
-    once: Once<FakeTable>,
+    once: IdempotencyClaims<FakeTable>,
     /// Claims held and not yet sent, by key; a paused daemon keeps them.
     claims: BTreeMap<usize, Claim>,
     /// Claims that may have been written; their attempts were refused.
-    doubts: Vec<Doubt>,
+    doubts: Vec<UnconfirmedClaim>,
 }
 
 struct System {
@@ -99,20 +99,20 @@
             .block_on(d.once.claim(&format!("k{key}"), "attempt"));
         d.table.heal();
         match claimed {
-            Ok(Claimed::Mine(claim)) => {
+            Ok(ClaimOutcome::Acquired(claim)) => {
                 assert!(
                     d.claims.insert(key, claim).is_none(),
                     "a key was claimed while its first claim was held"
                 );
             }
-            Ok(Claimed::Done(object)) => {
+            Ok(ClaimOutcome::Completed(object)) => {
                 assert_eq!(object, format!("answer-{key}"));
                 assert_eq!(self.runs[key], 1, "an answer without its run");
             }
             // Held: the caller hears "unknown". Errors: this attempt is
             // told "not run", and indeed nothing was sent for it.
-            Ok(Claimed::Unsettled(doubt, _)) => d.doubts.push(doubt),
-            Ok(Claimed::Held) | Err(CatalogError::Unavailable { .. }) => {}
+            Ok(ClaimOutcome::Unconfirmed(doubt, _)) => d.doubts.push(doubt),
+            Ok(ClaimOutcome::HeldByOther) | Err(CatalogError::Unavailable { .. }) => {}
             Err(CatalogError::Unreachable { .. } | CatalogError::Conflict { .. }) => {}
             Err(e) => panic!("unexpected {e}"),
         }
@@ -128,7 +128,7 @@
             Act::Run => {
                 self.runs[key] += 1;
                 let answer = format!("answer-{key}");
-                let _ = self.runtime.block_on(d.once.finish(&claim, &answer));
+                let _ = self.runtime.block_on(d.once.record_answer(&claim, &answer));
             }
             Act::RunUnheard => self.runs[key] += 1,
             Act::NotRun => {
@@ -149,7 +149,7 @@
             .map(|i| {
                 let table = table.client();
                 Daemon {
-                    once: Once::new(table.clone(), format!("d{i}").into()),
+                    once: IdempotencyClaims::new(table.clone(), format!("d{i}").into()),
                     table,
                     claims: BTreeMap::new(),
                     doubts: Vec::new(),
@@ -179,7 +179,7 @@
                 let d = &mut system.daemons[daemon];
                 d.table.script(fates);
                 for doubt in std::mem::take(&mut d.doubts) {
-                    let _ = system.runtime.block_on(d.once.abandon(&doubt));
+                    let _ = system.runtime.block_on(d.once.release_unconfirmed(&doubt));
                 }
                 d.table.heal();
             }
@@ -229,16 +229,18 @@
         .unwrap();
     let table = FakeTable::default();
     let (first, second) = (table.client(), table.client());
-    let first_once = Once::new(first.clone(), "d0".into());
+    let first_once = IdempotencyClaims::new(first.clone(), "d0".into());
     first.script([Fate::Unheard, Fate::Lost, Fate::Lost, Fate::Lost]);
     let claimed = runtime.block_on(first_once.claim("k", "a1")).unwrap();
-    let Claimed::Unsettled(doubt, _) = claimed else {
+    let ClaimOutcome::Unconfirmed(doubt, _) = claimed else {
         panic!("settled without an answer: {claimed:?}");
     };
-    let second_once = Once::new(second, "d1".into());
+    let second_once = IdempotencyClaims::new(second, "d1".into());
     let held = runtime.block_on(second_once.claim("k", "a2")).unwrap();
-    assert!(matches!(held, Claimed::Held), "{held:?}");
-    runtime.block_on(first_once.abandon(&doubt)).unwrap();
+    assert!(matches!(held, ClaimOutcome::HeldByOther), "{held:?}");
+    runtime
+        .block_on(first_once.release_unconfirmed(&doubt))
+        .unwrap();
     let free = runtime.block_on(second_once.claim("k", "a3")).unwrap();
-    assert!(matches!(free, Claimed::Mine(_)), "{free:?}");
+    assert!(matches!(free, ClaimOutcome::Acquired(_)), "{free:?}");
 }
--- a/crates/comfreyhall-workspace/src/lib.rs
+++ b/crates/comfreyhall-workspace/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! [`Workspaces`] is what a configuration says: which keys belong to which
 //! workspace, its rank, and how much it may use over all daemons together.
-//! Keys are known by their hashes only ([`key`]). A [`Meter`] keeps the caps of
+//! Keys are known by their hashes only ([`key`]). A [`RateLimiter`] keeps the caps of
 //! one daemon together with those of the others; there are two of them,
-//! [`Lending`] and [`Sharing`].
+//! [`LendingLimiter`] and [`SharingLimiter`].
 //!
 //! Everything here takes the time as an argument, in ms of a steady clock that
 //! counts suspended time, and touches no network.
