--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -6,8 +6,8 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{Config, Map, Name, Ranks, Stage, Target};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_domain::{Config, Map, Name, PriorityTable, Stage, Target};
+use comfreyhall_inforce::{SettingsTracker, Source};
 
 use crate::{
     node::{NamedVersion, Node, View},
@@ -23,7 +23,7 @@
     /// Newest version covered.
     pub(crate) version: u64,
     /// When the store said what is known here, to us or to a peer; of the settings
-    /// [`InForce`] knows it.
+    /// [`SettingsTracker`] knows it.
     pub(crate) as_of: u64,
 }
 
@@ -49,7 +49,7 @@
     pub(crate) settings: TopicRows,
     pub(crate) targets: TopicRows,
     /// How far the settings reach.
-    pub(crate) settings_sync: InForce,
+    pub(crate) settings_sync: SettingsTracker,
 }
 
 impl FactStore {
@@ -64,14 +64,14 @@
 /// Where rows came from, and when they were asked for.
 #[derive(Debug)]
 pub(crate) struct Provenance {
-    pub(crate) way: Way,
+    pub(crate) way: Source,
     pub(crate) asked: u64,
 }
 
 impl Provenance {
     /// The store's answer to a call that began at `asked`.
     pub(crate) fn store(asked: u64) -> Self {
-        let way = Way::Store;
+        let way = Source::Store;
         Self { way, asked }
     }
 }
@@ -90,7 +90,7 @@
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.records.settings_sync.take(fact.version, way, *asked, now);
+            view.records.settings_sync.apply(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
         let shelf = view.records.topic_rows(topic);
@@ -137,7 +137,7 @@
             tell_in_force(node, view, &config, fact);
             view.records.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
-            view.ranks = Ranks::of(&config);
+            view.ranks = PriorityTable::from_config(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
@@ -159,7 +159,7 @@
             if !view.targets.contains_key(&target.id)
                 && let Some(known) = view.boot_of(&target.name)
             {
-                if known.born > target.born {
+                if known.started_at_ms > target.started_at_ms {
                     log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot passed over");
                     return false;
                 }
@@ -194,14 +194,15 @@
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
 fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Record) {
-    let Some(taken) = view.records.settings_sync.taken() else {
+    let Some(taken) = view.records.settings_sync.last_applied() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
-    node.metrics.settings(taken.way.kind(), bytes, taken.waited);
+    node.metrics
+        .settings(taken.source.label(), bytes, taken.waited_ms);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.records.settings_sync.age(taken.at);
-    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
+    let age = view.records.settings_sync.age_ms(taken.applied_at_ms);
+    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
 /// Sends nothing new to the target listed under `name`, whose entry cannot be
@@ -223,7 +224,7 @@
 
 /// Whether two entries of a target differ in nothing that routes depend on.
 fn same(a: &Target, b: &Target) -> bool {
-    let models = |t: &Target| t.held.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
+    let models = |t: &Target| t.loaded.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
 }
 
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -82,7 +82,7 @@
         self.node.fleet.tell(RunUpdate {
             run: self.run,
             target: self.target.id.clone(),
-            group: self.target.domain.clone(),
+            group: self.target.failure_domain.clone(),
             change: what,
         });
     }
@@ -127,7 +127,7 @@
         if let Some(seat) = &seat {
             let run = Run {
                 target: target.id.clone(),
-                group: target.domain.clone(),
+                group: target.failure_domain.clone(),
                 adapter: adapter.filter(|a| a.adapter.is_some()),
                 unread_tokens: tokens,
                 queued_tokens: ahead,
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -235,7 +235,7 @@
                 view.bind_demand.prune(FORGOTTEN_SCORE, now);
             }
             let ours = engines(&node).into_iter();
-            let ours = ours.filter(|t| node.token(&t.domain).is_some());
+            let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
             node.controllers.window().init_for(ours.len());
             for target in &ours {
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -1,16 +1,16 @@
 //! Limits that targets name, known to all daemons and kept by them together.
 //!
 //! The holder of a group's lease grants what the group's targets take
-//! ([`Granting`](comfreyhall_workspace::Granting)): it binds the runs there as
+//! ([`GrantingLimiter`](comfreyhall_workspace::Granting)): it binds the runs there as
 //! well, and there is one of it. It hears of a limit from its own answers or
 //! from those who ask it, and tells all others with its news.
 
 use std::sync::Arc;
 
 use comfreyhall_backpressure::{LimitReport, Rate};
-use comfreyhall_domain::{Cap, Map, Name, Target, Unit};
+use comfreyhall_domain::{Map, Name, Quota, QuotaUnit, Target};
 use comfreyhall_protocol::TargetWord;
-use comfreyhall_workspace::{Kept, home_group};
+use comfreyhall_workspace::{PlacedQuota, coordinator_group};
 
 use super::{log, shut::unavailable};
 use crate::{
@@ -23,7 +23,7 @@
 const TELL_MS: u64 = 10_000;
 
 /// The limits in force, and which group's home keeps each.
-pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, Kept> {
+pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, PlacedQuota> {
     let gates = node.outbound.gates();
     if gates.is_empty() {
         return Map::default();
@@ -33,12 +33,12 @@
     let groups = caps::groups(node);
     let kept = limited.into_iter().filter_map(|(target, rate)| {
         let group = group_of(node, &target, &groups)?;
-        let cap = Cap {
-            unit: Unit::Requests,
+        let cap = Quota {
+            unit: QuotaUnit::Requests,
             rate: rate.per_s(),
             burst: 0.0,
         };
-        Some((target, Kept { cap, group }))
+        Some((target, PlacedQuota { quota: cap, group }))
     });
     kept.collect()
 }
@@ -47,8 +47,10 @@
 /// holder binds runs to it, or any that all daemons agree on.
 fn group_of(node: &Node, target: &Name, groups: &[Name]) -> Option<Name> {
     let known = node.view().targets.get(target).cloned();
-    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.domain));
-    domain.or_else(|| home_group(target, groups)).cloned()
+    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.failure_domain));
+    domain
+        .or_else(|| coordinator_group(target, groups))
+        .cloned()
 }
 
 /// Takes a part of the limit of `target`, if it has one.
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use comfreyhall_backpressure::{Change, Notice, TargetSignals};
-use comfreyhall_domain::{Ask, Target};
+use comfreyhall_domain::{ClientRequest, Target};
 use rand::Rng;
 use tokio::time::timeout;
 
@@ -138,7 +138,7 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     mut permit: Permit,
-    ask: Arc<Ask>,
+    ask: Arc<ClientRequest>,
     options: SendOptions,
     patience: Duration,
 ) -> Result<Response, SendError> {
--- a/crates/comfreyhall-node/tests/caller.rs
+++ b/crates/comfreyhall-node/tests/caller.rs
@@ -7,7 +7,10 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{Ask, Config, Entry, Given, GivenUnit, Kind, Route, Workspaces, read};
+use comfreyhall_domain::{
+    ClientRequest, Config, RawNumber, RawUnit, Route, RouteKind, WorkspaceEntry, Workspaces,
+    read_entries,
+};
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_node::Node;
 use support::*;
@@ -49,7 +52,7 @@
     (node, script, world)
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> CallerResult {
+async fn serve(node: &Arc<Node>, ask: ClientRequest) -> CallerResult {
     caller_result(node.serve(ask).await).await
 }
 
@@ -63,7 +66,11 @@
 /// Guards against targets that are not told the workspace of the caller's key.
 #[tokio::test]
 async fn serve_names_workspace_of_key() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, script, _) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(
         serve(&node, keyed("r1", "key of b")).await,
         CallerResult::Complete(200)
@@ -76,7 +83,8 @@
 /// belongs to nobody.
 #[tokio::test]
 async fn serve_unknown_key_is_final() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, script, _) =
+        daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     assert_eq!(
         serve(&node, keyed("r1", "guess")).await,
         CallerResult::UnknownKey
@@ -89,7 +97,7 @@
 async fn serve_public_route_asks_no_key() {
     let open = Route {
         public: true,
-        ..route(Kind::Safe, 1, false)
+        ..route(RouteKind::Idempotent, 1, false)
     };
     let (node, script, _) = daemon(open, workspaces(&["a"])).await;
     assert_eq!(serve(&node, ask("r1")).await, CallerResult::Complete(200));
@@ -104,7 +112,11 @@
 /// Guards against keys that go on working after they were taken back.
 #[tokio::test]
 async fn serve_key_taken_back() {
-    let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, _, world) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(
         serve(&node, keyed("r1", "key of b")).await,
         CallerResult::Complete(200)
@@ -125,7 +137,11 @@
 /// while it waited.
 #[tokio::test]
 async fn serve_key_taken_back_while_it_waits() {
-    let (node, script, world) = daemon(route(Kind::Safe, 2, false), workspaces(&["a", "b"])).await;
+    let (node, script, world) = daemon(
+        route(RouteKind::Idempotent, 2, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     let full = Behavior::Refuse(comfreyhall_domain::Refusal::Full);
     *script.default_behavior.lock().unwrap() = Some(full);
     let waits = tokio::spawn({
@@ -146,7 +162,7 @@
 /// daemon that cannot read the settings does not know of it.
 #[tokio::test]
 async fn serve_unknown_key_of_lagging_daemon_may_return() {
-    let (node, _, world) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, _, world) = daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     world.unavailable.store(true, Ordering::SeqCst);
     let mut told = serve(&node, keyed("r0", "key of new")).await;
     for round in 1..200 {
@@ -169,7 +185,7 @@
 /// their withdrawal, where the deployment says that they must not.
 #[tokio::test]
 async fn serve_keys_lapse_without_store() {
-    let route = route(Kind::Safe, 1, false);
+    let route = route(RouteKind::Idempotent, 1, false);
     let (node, script, world) = daemon_with(route, workspaces(&["a"]), Some(300)).await;
     world.unavailable.store(true, Ordering::SeqCst);
     let mut told = CallerResult::Complete(200);
@@ -191,20 +207,20 @@
 
 /// A workspace with a cap of `rate` requests a second and as many at once.
 fn capped(rate: f64) -> Workspaces {
-    let a = Entry {
-        unit: GivenUnit::Requests,
-        rate: Given::Number(rate),
-        burst: Given::Number(rate),
+    let a = WorkspaceEntry {
+        unit: RawUnit::Requests,
+        rate: RawNumber::Number(rate),
+        burst: RawNumber::Number(rate),
         ..entry("a")
     };
-    read(hasher(), vec![a, entry("b")]).0
+    read_entries(hasher(), vec![a, entry("b")]).0
 }
 
 /// Guards against a workspace that uses more than its cap, and against one over
 /// its cap that costs the others.
 #[tokio::test]
 async fn serve_over_cap_is_refused() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), capped(5.0)).await;
+    let (node, script, _) = daemon(route(RouteKind::Idempotent, 1, false), capped(5.0)).await;
     // The burst is there one second after the daemon knows who there is.
     let mut answered = 0;
     while answered == 0 {
@@ -240,7 +256,7 @@
 /// Guards against credit that is lost with requests that did not run.
 #[tokio::test]
 async fn serve_refused_by_targets_keeps_credit() {
-    let (node, script, _) = daemon(route(Kind::Safe, 1, false), capped(3.0)).await;
+    let (node, script, _) = daemon(route(RouteKind::Idempotent, 1, false), capped(3.0)).await;
     while serve(&node, keyed("first", "key of a")).await != CallerResult::Complete(200) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/comfreyhall-node/tests/serve.rs
+++ b/crates/comfreyhall-node/tests/serve.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use comfreyhall_domain::{Kind, Refusal};
+use comfreyhall_domain::{Refusal, RouteKind};
 use support::*;
 
 async fn serve(
-    kind: Kind,
+    kind: RouteKind,
     attempts: u32,
     resumable: bool,
     acts: Vec<Behavior>,
@@ -22,7 +22,7 @@
 async fn serve_answer_passes() {
     let acts = vec![Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (CallerResult::Complete(200), 1)
     );
 }
@@ -34,7 +34,7 @@
 async fn serve_unsafe_in_doubt_is_unknown() {
     let acts = vec![Behavior::LoseAnswer, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, acts).await,
+        serve(RouteKind::NonIdempotent, 2, false, acts).await,
         (CallerResult::Unknown, 1)
     );
 }
@@ -43,7 +43,7 @@
 async fn serve_unsafe_unreached_goes_on() {
     let acts = vec![Behavior::Unreachable, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -52,7 +52,7 @@
 async fn serve_unsafe_refused_goes_on() {
     let acts = vec![Behavior::Refuse(Refusal::Full), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, acts).await,
+        serve(RouteKind::NonIdempotent, 2, false, acts).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -64,7 +64,7 @@
 #[tokio::test]
 async fn serve_full_target_not_hammered() {
     let acts = (0..20).map(|_| Behavior::Refuse(Refusal::Full)).collect();
-    let (got, sends) = serve(Kind::Unsafe, 1, false, acts).await;
+    let (got, sends) = serve(RouteKind::NonIdempotent, 1, false, acts).await;
     assert_eq!(got, CallerResult::NotRun);
     assert!(sends <= 3, "{sends} sends");
 }
@@ -73,7 +73,7 @@
 async fn serve_safe_error_tried_elsewhere() {
     let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(RouteKind::Idempotent, 2, false, acts).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -82,7 +82,7 @@
 async fn serve_safe_last_error_passes() {
     let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(500, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(RouteKind::Idempotent, 2, false, acts).await,
         (CallerResult::Complete(500), 2)
     );
 }
@@ -95,7 +95,7 @@
     for status in [429, 503, 408] {
         let acts = vec![Behavior::UnprovenFailure(status)];
         assert_eq!(
-            serve(Kind::Unsafe, 1, false, acts).await,
+            serve(RouteKind::NonIdempotent, 1, false, acts).await,
             (CallerResult::Unknown, 1)
         );
     }
@@ -107,7 +107,7 @@
 async fn serve_forged_success_never_passes() {
     let acts = vec![Behavior::UnverifiedSuccess];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (CallerResult::Unknown, 1)
     );
 }
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn serve_stream_passes() {
     let acts = vec![Behavior::Stream(vec![1, 2, 3], true)];
-    let got = serve(Kind::Stream, 1, false, acts).await;
+    let got = serve(RouteKind::Stream, 1, false, acts).await;
     assert_eq!(got, (CallerResult::Stream(vec![1, 2, 3], true), 1));
 }
 
@@ -127,7 +127,7 @@
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![3, 4], true),
     ];
-    let (node, script) = start_node(route(Kind::Stream, 2, true), acts).await;
+    let (node, script) = start_node(route(RouteKind::Stream, 2, true), acts).await;
     let got = caller_result(node.serve(ask("q")).await).await;
     assert_eq!(got, CallerResult::Stream(vec![1, 2, 3, 4], true));
     let seen = script.sent.lock().unwrap();
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn serve_stream_not_resumable_breaks_off() {
     let acts = vec![Behavior::Stream(vec![1, 2], false)];
-    let got = serve(Kind::Stream, 2, false, acts).await;
+    let got = serve(RouteKind::Stream, 2, false, acts).await;
     assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 1));
 }
 
@@ -154,7 +154,7 @@
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![4, 5], true),
     ];
-    let got = serve(Kind::Stream, 2, true, acts).await;
+    let got = serve(RouteKind::Stream, 2, true, acts).await;
     assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 2));
 }
 
@@ -162,7 +162,7 @@
 async fn serve_mute_target_times_out() {
     let acts = vec![Behavior::Hang];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(RouteKind::NonIdempotent, 1, false, acts).await,
         (CallerResult::TimedOut, 1)
     );
 }
