--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -261,7 +261,9 @@
         };
         match taken {
             ReserveOutcome::Granted => return Ok(Credit::new(node, of, name, size)),
-            ReserveOutcome::OverQuota { retry_ms } => return Err(QuotaError::Exceeded { retry_ms }),
+            ReserveOutcome::OverQuota { retry_ms } => {
+                return Err(QuotaError::Exceeded { retry_ms });
+            }
             ReserveOutcome::Pending(call) => {
                 if !answered(node, of, name, call, until).await {
                     return Err(QuotaError::Unknown { retry_ms: LOOK_MS });
@@ -271,7 +273,9 @@
                 let pause = LOOK_MS.min(until - now);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
-            ReserveOutcome::UsageUnknown { retry_ms } => return Err(QuotaError::Unknown { retry_ms }),
+            ReserveOutcome::UsageUnknown { retry_ms } => {
+                return Err(QuotaError::Unknown { retry_ms });
+            }
         }
     }
 }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -133,7 +133,13 @@
     tokio::spawn(settle(node.clone(), of, group, home, call));
 }
 
-async fn settle(node: Arc<Node>, of: QuotaKind, group: Name, home: PeerProcess, call: SettleRequest) {
+async fn settle(
+    node: Arc<Node>,
+    of: QuotaKind,
+    group: Name,
+    home: PeerProcess,
+    call: SettleRequest,
+) {
     let reply = match node.fleet.client(&home.peer_addr) {
         Some(mut client) => {
             let answer = client.settle(wire::call(&node, of, &call));
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     flight::Seat,
-    keeper::Candidate,
+    keeper::EngineCandidate,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
 };
@@ -103,7 +103,7 @@
     /// Whether the adapter has to be loaded first.
     pub(crate) loads: bool,
     /// Engines that may load it, the target first, for the holder.
-    pub(crate) picks: Vec<Candidate>,
+    pub(crate) picks: Vec<EngineCandidate>,
     /// The run that a holder has bound to the target.
     pub(crate) seat: Option<Seat>,
     /// Whether the holder has granted it a part of the target's limit.
@@ -212,13 +212,13 @@
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<Candidate> {
+fn picks(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<EngineCandidate> {
     let others = loaders.iter().filter(|c| c.id != best.id);
-    let others = others.map(|c| Candidate {
+    let others = others.map(|c| EngineCandidate {
         target: c.id.clone(),
         extra_ms: (c.cost_ms(again_ms) - best.cost_ms(again_ms)).max(0.0) as u64,
     });
-    let first = Candidate {
+    let first = EngineCandidate {
         target: best.id.clone(),
         extra_ms: 0,
     };
@@ -332,8 +332,9 @@
         choice.load_ms = node.controllers.expected_load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
         choice.from_store = !recent && !hot && policies.spare_store;
-        choice.evicts =
-            policies.spare_places && !hot && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
+        choice.evicts = policies.spare_places
+            && !hot
+            && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
         let told = used.get(&t.id).copied().unwrap_or(0);
         let full = known.max(told) >= engine.adapter_slots;
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -90,7 +90,9 @@
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.records.settings_sync.apply(fact.version, way, *asked, now);
+            view.records
+                .settings_sync
+                .apply(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
         let shelf = view.records.topic_rows(topic);
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -173,7 +173,11 @@
 async fn catch_up(node: &Arc<Node>) -> Option<Duration> {
     // The other parts are left for finding one that has it, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
-    let step = node.view().records.settings_sync.next_step(node.now(), patience);
+    let step = node
+        .view()
+        .records
+        .settings_sync
+        .next_step(node.now(), patience);
     match step {
         CatchUp::Idle => return None,
         CatchUp::Wait(ms) => return Some(Duration::from_millis(ms)),
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -227,7 +227,12 @@
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().records.settings_sync.is_contiguous(news.settings_since) {
+        let settings = match node
+            .view()
+            .records
+            .settings_sync
+            .is_contiguous(news.settings_since)
+        {
             true => news.settings,
             false => Vec::new(),
         };
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -90,7 +90,8 @@
                 let origin = Provenance::store(times.asked);
                 facts::apply(&node, Topic::Settings, facts, &origin);
                 node.view()
-                    .records.settings_sync
+                    .records
+                    .settings_sync
                     .store_confirmed(covers, times.as_of);
                 settle(&node);
             }
@@ -190,7 +191,10 @@
             return Ok(found);
         }
         let (covers, as_of) = (found.facts.version, found.times.as_of);
-        node.view().records.settings_sync.store_confirmed(covers, as_of);
+        node.view()
+            .records
+            .settings_sync
+            .store_confirmed(covers, as_of);
     }
 }
 
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -45,7 +45,9 @@
     };
     let unavailable = UnavailableTargets::current(node, now);
     for copy in due {
-        if node.token(&copy.target.failure_domain).is_none() || unavailable.blocks_loads(&copy.target.id) {
+        if node.token(&copy.target.failure_domain).is_none()
+            || unavailable.blocks_loads(&copy.target.id)
+        {
             continue;
         }
         let id = &copy.target.id;
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -31,7 +31,7 @@
 use self::ticket::{Done, Ticket};
 pub(crate) use self::{
     ticket::{Placed, PlacementError},
-    wish::{Candidate, PlacementRequest, place_adapter},
+    wish::{EngineCandidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -63,7 +63,9 @@
             }
             CommandReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.observe_token(&self.target.failure_domain, token);
+                self.node
+                    .leases
+                    .observe_token(&self.target.failure_domain, token);
             }
             // It is not given orders again before it has reported.
             CommandReply::Unsent => self.synced = false,
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -11,7 +11,7 @@
 
 /// An engine that may take an adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Candidate {
+pub(crate) struct EngineCandidate {
     pub(crate) target: Name,
     /// Ms more than at the best one until the request would be answered: it
     /// takes the adapter only once that long went by without a place elsewhere.
@@ -23,7 +23,7 @@
 pub(crate) struct PlacementRequest {
     pub(crate) adapter: AdapterRef,
     /// Engines that may take it, all of one group.
-    pub(crate) candidates: Vec<Candidate>,
+    pub(crate) candidates: Vec<EngineCandidate>,
     /// Least version that will do; 0 for any.
     pub(crate) version: u64,
     /// Rank of the route; 0 first.
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -3,7 +3,7 @@
 use comfreyhall_domain::AdapterRef;
 use tokio::sync::mpsc;
 
-use super::{Candidate, PlacementRequest, place_adapter};
+use super::{EngineCandidate, PlacementRequest, place_adapter};
 use crate::test_node::node;
 
 /// Symptom: an engine that was gone was asked again by every request. Events:
@@ -26,7 +26,7 @@
             model: "m".into(),
             adapter: Some("a".into()),
         },
-        candidates: vec![Candidate {
+        candidates: vec![EngineCandidate {
             target: "e".into(),
             extra_ms: 0,
         }],
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -86,7 +86,11 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().records.settings_sync.freshness(self.now(), bound);
+        let verdict = self
+            .view()
+            .records
+            .settings_sync
+            .freshness(self.now(), bound);
         verdict == Freshness::Stale
     }
 
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -37,7 +37,12 @@
 
 impl PrefixIndex {
     /// Tokens of `parts` that `target` need not read again.
-    pub fn cached_tokens(&self, adapter: &AdapterRef, parts: &[PromptSegment], target: &Name) -> u64 {
+    pub fn cached_tokens(
+        &self,
+        adapter: &AdapterRef,
+        parts: &[PromptSegment],
+        target: &Name,
+    ) -> u64 {
         chains(adapter, parts)
             .take_while(|(key, _)| self.read.contains_key(&(*key, target.clone())))
             .map(|(_, tokens)| u64::from(tokens))
@@ -45,7 +50,13 @@
     }
 
     /// `target` has read `parts`.
-    pub fn record(&mut self, adapter: &AdapterRef, parts: &[PromptSegment], target: &Name, now: u64) {
+    pub fn record(
+        &mut self,
+        adapter: &AdapterRef,
+        parts: &[PromptSegment],
+        target: &Name,
+        now: u64,
+    ) {
         for (key, _) in chains(adapter, parts) {
             let key = (key, target.clone());
             if self.read.insert(key.clone(), now).is_none() {
