--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Name, Part, Tokens};
+use comfreyhall_domain::{AdapterRef, Name, PromptSegment, TokenCounts};
 use comfreyhall_protocol::{BindReply, BindRequest, PromptPart};
 
 use super::{Bind, Bound, Unbound, here};
@@ -27,7 +27,7 @@
         adapter: name.unwrap_or("").to_string(),
         version: ask.version,
         prompt_tokens: need.tokens.map_or(0, |t| t.prompt),
-        output_tokens: need.tokens.map_or(0, |t| t.output),
+        output_tokens: need.tokens.map_or(0, |t| t.max_output),
         parts: parts.collect(),
         priority: u32::from(ask.priority),
         aim_ms: ask.aim_ms,
@@ -42,7 +42,7 @@
 
 fn from_wire(ask: &BindRequest) -> Bind {
     let names = |all: &[String]| all.iter().map(|n| Name::from(n.as_str())).collect();
-    let parts = ask.parts.iter().map(|p| Part {
+    let parts = ask.parts.iter().map(|p| PromptSegment {
         id: p.id,
         tokens: p.tokens,
     });
@@ -51,9 +51,9 @@
             model: ask.model.as_str().into(),
             adapter: (!ask.adapter.is_empty()).then(|| ask.adapter.as_str().into()),
         }),
-        tokens: Some(Tokens {
+        tokens: Some(TokenCounts {
             prompt: ask.prompt_tokens,
-            output: ask.output_tokens,
+            max_output: ask.output_tokens,
         }),
         parts: parts.collect(),
     };
@@ -85,16 +85,21 @@
     match here::bind(node, ask).await {
         Ok(bound) => {
             let now = node.now();
-            let ahead = node.view().board.work(&bound.target, now).prefill + bound.unread;
+            let ahead = node
+                .view()
+                .board
+                .total_work(&bound.target, now)
+                .prefill_tokens
+                + bound.unread;
             let counted = Run {
                 target: bound.target.clone(),
                 group,
                 adapter,
-                unread: bound.unread,
-                ahead,
-                bound: now,
+                unread_tokens: bound.unread,
+                queued_tokens: ahead,
+                bound_at_ms: now,
             };
-            node.fleet.bound(node, &message.from, run, counted);
+            node.fleet.add_bound_run(node, &message.from, run, counted);
             BindReply {
                 target: bound.target.to_string(),
                 version: bound.version,
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -2,18 +2,21 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Ask, Engine, Kind, Map, Name, Part, Route, Target, Tokens};
-use comfreyhall_placement::PlaceTime;
+use comfreyhall_domain::{
+    AdapterRef, ClientRequest, EngineConfig, Map, Name, PromptSegment, Route, RouteKind, Target,
+    TokenCounts,
+};
+use comfreyhall_placement::SlotTimePrice;
 use comfreyhall_routing::{
-    pick,
-    pick::{Choice, Spread},
+    selection,
+    selection::{Candidate, Spread},
 };
 
 use crate::{
     flight::Seat,
-    keeper::Pick,
+    keeper::EngineCandidate,
     node::{Node, View},
-    outbound::{self, Shut},
+    outbound::{self, UnavailableTargets},
 };
 
 /// How long after a version of an adapter was named the one before still
@@ -59,18 +62,18 @@
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
     /// Size of the generation.
-    pub(crate) tokens: Option<Tokens>,
+    pub(crate) tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) parts: Vec<PromptSegment>,
 }
 
 impl Need {
     /// What `ask` asks of an engine.
-    pub(crate) fn of(ask: &Ask) -> Self {
+    pub(crate) fn of(ask: &ClientRequest) -> Self {
         Self {
             adapter: ask.adapter.clone(),
             tokens: ask.tokens,
-            parts: ask.parts.clone(),
+            parts: ask.prompt_segments.clone(),
         }
     }
 
@@ -100,7 +103,7 @@
     /// Whether the adapter has to be loaded first.
     pub(crate) loads: bool,
     /// Engines that may load it, the target first, for the holder.
-    pub(crate) picks: Vec<Pick>,
+    pub(crate) picks: Vec<EngineCandidate>,
     /// The run that a holder has bound to the target.
     pub(crate) seat: Option<Seat>,
     /// Whether the holder has granted it a part of the target's limit.
@@ -116,7 +119,7 @@
     /// Group whose engines alone come into question: the caller holds its
     /// lease and knows of every run there.
     pub(crate) group: Option<&'a str>,
-    pub(crate) engine: Option<&'a Engine>,
+    pub(crate) engine: Option<&'a EngineConfig>,
     /// Targets it was sent to.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
@@ -128,7 +131,7 @@
 
 impl Wish<'_> {
     fn open(&self, target: &Target) -> bool {
-        self.group.is_none_or(|g| *target.domain == *g)
+        self.group.is_none_or(|g| *target.failure_domain == *g)
             && !self.closed.contains(&target.id)
             && (!self.only_tried || self.tried.contains(&target.id))
     }
@@ -139,22 +142,22 @@
     let now = node.now();
     let settings = node.settings();
     let policies = settings.policies;
-    let shut = outbound::Shut::now(node, now);
+    let unavailable = outbound::UnavailableTargets::current(node, now);
     let view = node.view();
-    let targets = view.ready(wish.service, now);
+    let targets = view.ready_targets(wish.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
-        .filter(|t| wish.open(t) && !shut.sends(&t.id))
+        .filter(|t| wish.open(t) && !unavailable.blocks_sends(&t.id))
         .collect();
-    let base = |t: &Target| Choice {
+    let base = |t: &Target| Candidate {
         id: t.id.clone(),
-        near: t.domain == settings.domain || !policies.near_first,
+        same_domain: t.failure_domain == settings.domain || !policies.near_first,
         wait_ms: 0.0,
         load_ms: 0.0,
-        stored: false,
+        from_store: false,
         evicts: false,
-        beside_ms: 0.0,
-        health: match policies.outliers {
+        interference_ms: 0.0,
+        success_rate: match policies.outliers {
             true => view.board.health(&t.id, now),
             false => 1.0,
         },
@@ -169,13 +172,13 @@
                 engine,
                 version,
             };
-            let options = engine_choices(node, &view, wish, wanted, &targets, &shut, &base);
+            let options = engine_choices(node, &view, wish, wanted, &targets, &unavailable, &base);
             loaders = options.loaders;
             (options.open, version)
         }
         _ => {
-            let plain = |t: &Arc<Target>| Choice {
-                wait_ms: view.board.plain_ms(&t.id, t.slots, now),
+            let plain = |t: &Arc<Target>| Candidate {
+                wait_ms: view.board.plain_ms(&t.id, t.max_running, now),
                 ..base(t)
             };
             (targets.iter().map(plain).collect(), 0)
@@ -186,7 +189,7 @@
         true => Spread::Stale(STALE_MS),
         false => Spread::Equal,
     };
-    let best = pick::best(&choices, again_ms, spread, wish.draw)?;
+    let best = selection::select(&choices, again_ms, spread, wish.draw)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let loads = best.load_ms > 0.0;
     let picks = match loads && wish.group.is_some() {
@@ -209,13 +212,13 @@
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
+fn picks(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<EngineCandidate> {
     let others = loaders.iter().filter(|c| c.id != best.id);
-    let others = others.map(|c| Pick {
+    let others = others.map(|c| EngineCandidate {
         target: c.id.clone(),
-        extra_ms: (c.cost(again_ms) - best.cost(again_ms)).max(0.0) as u64,
+        extra_ms: (c.cost_ms(again_ms) - best.cost_ms(again_ms)).max(0.0) as u64,
     });
-    let first = Pick {
+    let first = EngineCandidate {
         target: best.id.clone(),
         extra_ms: 0,
     };
@@ -227,8 +230,8 @@
 /// The least version of `adapter` that may still serve.
 fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
     let grace = node.settings().bounds.version_ms / GRACE_PART;
-    let named = view.named.get(adapter);
-    let due = named.filter(|n| now.saturating_sub(n.learned) >= grace);
+    let named = view.named_versions.get(adapter);
+    let due = named.filter(|n| now.saturating_sub(n.learned_ms) >= grace);
     due.map_or(0, |n| n.version)
 }
 
@@ -237,14 +240,14 @@
     let Some(adapter) = &need.adapter else {
         return 0;
     };
-    let kept = view.prefixes.kept(adapter, &need.parts, target);
+    let kept = view.prefixes.cached_tokens(adapter, &need.parts, target);
     need.prompt().saturating_sub(kept).max(1)
 }
 
 /// What an engine must have for a request.
 struct Wanted<'a> {
     adapter: &'a AdapterRef,
-    engine: &'a Engine,
+    engine: &'a EngineConfig,
     /// Least version that will do; 0 for any.
     version: u64,
 }
@@ -252,9 +255,9 @@
 /// Engines for a request.
 struct Options {
     /// Those that it may choose from.
-    open: Vec<Choice>,
+    open: Vec<Candidate>,
     /// All that lack its adapter and may load it.
-    loaders: Vec<Choice>,
+    loaders: Vec<Candidate>,
 }
 
 fn engine_choices(
@@ -263,8 +266,8 @@
     wish: &Wish<'_>,
     wanted: Wanted<'_>,
     targets: &[Arc<Target>],
-    shut: &Shut,
-    base: &impl Fn(&Target) -> Choice,
+    unavailable: &UnavailableTargets,
+    base: &impl Fn(&Target) -> Candidate,
 ) -> Options {
     let Wanted {
         adapter,
@@ -272,25 +275,25 @@
         version,
     } = wanted;
     let now = node.now();
-    let key = crate::fleet::key_of(adapter);
+    let key = crate::fleet::adapter_key(adapter);
     let in_use = node.fleet.in_use(now);
-    let used = node.fleet.used(now);
-    let named = view.named.get(adapter).map_or(0, |n| n.version);
+    let used = node.fleet.reported_in_use(now);
+    let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, wish, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
-    let at_home = wish.group.is_some() || targets.iter().any(|t| t.domain == domain);
-    let resident = |t: &Target| view.residency.version(adapter, &t.id);
+    let at_home = wish.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
+    let resident = |t: &Target| view.residency.held_version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
     let reader = match policies.shared_prompts {
-        true => pick::reader(&key, &wish.need.parts, holders),
+        true => selection::prefix_engine(&key, &wish.need.parts, holders),
         false => None,
     };
-    let mut loaders: Vec<(bool, u64, Choice)> = Vec::new();
+    let mut loaders: Vec<(bool, u64, Candidate)> = Vec::new();
     let mut out = Vec::new();
-    for t in targets.iter().filter(|t| t.holds(&adapter.model)) {
+    for t in targets.iter().filter(|t| t.has_model(&adapter.model)) {
         let mut choice = base(t);
         let mut tokens = unread(view, wish.need, &t.id);
         if reader == Some(&t.id) {
@@ -298,13 +301,13 @@
         }
         choice.wait_ms = view.board.prefill_ms(&t.id, tokens, now);
         if let Some(prices) = prices {
-            let streams = view.board.work(&t.id, now).running;
-            let reading = view.board.reading_ms(tokens as f64);
-            choice.beside_ms = prices.reading_ms(reading, streams);
+            let streams = view.board.total_work(&t.id, now).requests;
+            let reading = view.board.read_duration_ms(tokens as f64);
+            choice.interference_ms = prices.read_cost_ms(reading, streams);
         }
-        let away = hot && at_home && wish.group.is_none() && t.domain != domain;
+        let away = hot && at_home && wish.group.is_none() && t.failure_domain != domain;
         if away {
-            choice.beside_ms += AWAY_MS;
+            choice.interference_ms += AWAY_MS;
         }
         let resident = resident(t);
         let held = adapter.adapter.is_none() || resident.is_some_and(|v| v >= version);
@@ -318,22 +321,23 @@
         if resident.is_some() && in_use.get(&t.id).is_some_and(|u| u.contains(adapter)) {
             continue;
         }
-        if away || shut.loads(&t.id) {
+        if away || unavailable.blocks_loads(&t.id) {
             continue;
         }
-        let held_lease = node.token(&t.domain).is_some();
-        if !held_lease && node.fleet.holder(&t.domain, now).is_none() {
+        let held_lease = node.token(&t.failure_domain).is_some();
+        if !held_lease && node.fleet.holder(&t.failure_domain, now).is_none() {
             continue;
         }
-        let recent = view.residency.recent(adapter, &t.id, now);
-        choice.load_ms = node.keepers.load_ms(recent);
+        let recent = view.residency.likely_cached(adapter, &t.id, now);
+        choice.load_ms = node.controllers.expected_load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
-        choice.stored = !recent && !hot && policies.spare_store;
-        choice.evicts =
-            policies.spare_places && !hot && view.residency.count(&t.id) >= engine.places;
+        choice.from_store = !recent && !hot && policies.spare_store;
+        choice.evicts = policies.spare_places
+            && !hot
+            && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
         let told = used.get(&t.id).copied().unwrap_or(0);
-        let full = known.max(told) >= engine.places;
+        let full = known.max(told) >= engine.adapter_slots;
         if full {
             choice.load_ms += FULL_MS;
         }
@@ -342,7 +346,7 @@
         let rank = if recent {
             0
         } else {
-            pick::home_rank(&key, &t.id)
+            selection::rendezvous_rank(&key, &t.id)
         };
         loaders.push((full && !recent, rank, choice));
     }
@@ -352,7 +356,7 @@
     } else {
         out.len().max(NEW_HOMES)
     };
-    let loaders: Vec<Choice> = loaders.into_iter().map(|(_, _, c)| c).collect();
+    let loaders: Vec<Candidate> = loaders.into_iter().map(|(_, _, c)| c).collect();
     out.extend(loaders.iter().take(homes).cloned());
     Options { open: out, loaders }
 }
@@ -362,20 +366,20 @@
     node: &Node,
     view: &View,
     wish: &Wish<'_>,
-    engine: &Engine,
+    engine: &EngineConfig,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
-) -> Option<PlaceTime> {
+) -> Option<SlotTimePrice> {
     wish.group.filter(|_| node.policies().place_time)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
-    let all = engine.places * targets.len() as u32;
-    Some(PlaceTime::new(used as u32, all, view.hold, wish.aim_ms))
+    let all = engine.adapter_slots * targets.len() as u32;
+    Some(SlotTimePrice::new(used as u32, all, view.hold, wish.aim_ms))
 }
 
 /// Whether a stalled send may be abandoned for another.
 pub(crate) fn repeatable(route: &Route) -> bool {
-    route.repeatable() && route.attempts > 1 && route.kind != Kind::Unsafe
+    route.repeatable() && route.max_attempts > 1 && route.kind != RouteKind::NonIdempotent
 }
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -6,7 +6,7 @@
 use comfreyhall_domain::{AdapterRef, Name, Target};
 
 use crate::{
-    fleet::{Event, Run, What},
+    fleet::{Run, RunChange, RunUpdate},
     node::Node,
 };
 
@@ -37,7 +37,7 @@
         adapter: &AdapterRef,
         tokens: u64,
     ) -> Self {
-        node.view().board.wait(target, tokens);
+        node.view().board.load_wait_started(target, tokens);
         node.fleet.pin(target, adapter);
         Self {
             node: node.clone(),
@@ -50,7 +50,10 @@
 
 impl Drop for Stall {
     fn drop(&mut self) {
-        self.node.view().board.awaited(&self.target, self.tokens);
+        self.node
+            .view()
+            .board
+            .load_wait_ended(&self.target, self.tokens);
         self.node.fleet.unpin(&self.target, &self.adapter);
     }
 }
@@ -75,19 +78,19 @@
         }
     }
 
-    fn tell(&self, what: What) {
-        self.node.fleet.tell(Event {
+    fn tell(&self, what: RunChange) {
+        self.node.fleet.tell(RunUpdate {
             run: self.run,
             target: self.target.id.clone(),
-            group: self.target.domain.clone(),
-            what,
+            group: self.target.failure_domain.clone(),
+            change: what,
         });
     }
 }
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.tell(What::Ended);
+        self.tell(RunChange::Ended);
     }
 }
 
@@ -118,19 +121,19 @@
     ) -> Self {
         let now = node.now();
         let mut view = node.view();
-        view.board.begin(&target.id, tokens);
-        let ahead = view.board.work(&target.id, now).prefill;
+        view.board.request_sent(&target.id, tokens);
+        let ahead = view.board.total_work(&target.id, now).prefill_tokens;
         drop(view);
         if let Some(seat) = &seat {
             let run = Run {
                 target: target.id.clone(),
-                group: target.domain.clone(),
+                group: target.failure_domain.clone(),
                 adapter: adapter.filter(|a| a.adapter.is_some()),
-                unread: tokens,
-                ahead,
-                bound: 0,
+                unread_tokens: tokens,
+                queued_tokens: ahead,
+                bound_at_ms: 0,
             };
-            node.fleet.begin(seat.run, run);
+            node.fleet.start_run(seat.run, run);
         }
         Self {
             node: node.clone(),
@@ -150,14 +153,15 @@
         let waited = now.saturating_sub(self.began);
         let mut view = self.node.view();
         if self.seat.is_some() {
-            view.board.learn_wait(&self.target, self.ahead, waited);
+            view.board
+                .record_first_token(&self.target, self.ahead, waited);
         }
-        view.board.read(&self.target, self.unread);
+        view.board.prompt_read(&self.target, self.unread);
         drop(view);
         self.unread = 0;
         if let Some(seat) = &self.seat {
-            self.node.fleet.read(seat.run);
-            seat.tell(What::First(waited));
+            self.node.fleet.mark_prompt_read(seat.run);
+            seat.tell(RunChange::FirstEvent(waited));
         }
         waited
     }
@@ -177,12 +181,15 @@
     /// Takes in how the answer was.
     pub(crate) fn note(&self, ok: bool, weight: f64) {
         let now = self.node.now();
-        self.node.view().board.note(&self.target, ok, weight, now);
+        self.node
+            .view()
+            .board
+            .record_outcome(&self.target, ok, weight, now);
         if let Some(seat) = &self.seat {
             seat.tell(if ok {
-                What::Good(weight)
+                RunChange::Success(weight)
             } else {
-                What::Bad(weight)
+                RunChange::Failure(weight)
             });
         }
     }
@@ -191,11 +198,11 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let mut view = self.node.view();
-        view.board.read(&self.target, self.unread);
-        view.board.end(&self.target);
+        view.board.prompt_read(&self.target, self.unread);
+        view.board.request_ended(&self.target);
         drop(view);
         if let Some(seat) = &self.seat {
-            self.node.fleet.end(seat.run);
+            self.node.fleet.end_run(seat.run);
         }
     }
 }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{IDLE_MS, Keeper, SETTLE};
 use crate::{
-    fleet::key_of,
+    fleet::adapter_key,
     leases, outbound,
-    ports::{Action, Order, OrderReply},
+    ports::{Action, Command, CommandReply},
 };
 
 /// Longest an answer to an order is waited for. Answers take some ms; an
@@ -33,63 +33,65 @@
         action: Action,
         adapter: &AdapterRef,
         version: u64,
-    ) -> OrderReply {
-        let Some(token) = self.node.token(&self.target.domain) else {
-            return OrderReply::Fenced;
+    ) -> CommandReply {
+        let Some(token) = self.node.token(&self.target.failure_domain) else {
+            return CommandReply::Fenced;
         };
-        if self.node.leaving() {
-            return OrderReply::Fenced;
+        if self.node.draining() {
+            return CommandReply::Fenced;
         }
-        let order = Order {
+        let order = Command {
             action,
             adapter: adapter.clone(),
             version: (version > 0).then_some(version),
-            expected: self.sequence,
+            expected_sequence: self.sequence,
             holder: self.node.settings().id.clone(),
             token,
         };
         let reply = self.give(order).await;
-        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
-        self.node.metrics.order(reply.name());
+        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
+        self.node.metrics.command(reply.name());
         match &reply {
             // A load that is on its way already is accepted again without
             // counting; dropping what is unused is done at once and counts.
-            OrderReply::Accepted if !self.coming.contains_key(adapter) => self.sequence += 1,
-            OrderReply::Holds if action == Action::Unload => self.sequence += 1,
-            OrderReply::Accepted | OrderReply::Holds => {}
-            OrderReply::Conflict | OrderReply::Silent(_) => {
+            CommandReply::Accepted if !self.coming.contains_key(adapter) => self.sequence += 1,
+            CommandReply::Holds if action == Action::Unload => self.sequence += 1,
+            CommandReply::Accepted | CommandReply::Holds => {}
+            CommandReply::Conflict | CommandReply::Silent(_) => {
                 self.synced = false;
                 self.ready_at = self.node.now() + SETTLE.as_millis() as u64;
             }
-            OrderReply::Fenced => {
+            CommandReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.beat(&self.target.domain, token);
+                self.node
+                    .leases
+                    .observe_token(&self.target.failure_domain, token);
             }
             // It is not given orders again before it has reported.
-            OrderReply::Unsent => self.synced = false,
-            OrderReply::Gone => {
+            CommandReply::Unsent => self.synced = false,
+            CommandReply::Gone => {
                 let until = self.node.now() + IDLE_MS;
                 let mut view = self.node.view();
-                view.dead.insert(self.target.id.clone(), until);
+                view.unavailable_until.insert(self.target.id.clone(), until);
             }
-            OrderReply::Invalid => {
-                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "order refused as invalid");
+            CommandReply::Invalid => {
+                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "order refused as invalid");
             }
         }
         reply
     }
 
     /// Gives `order`, again if it gets no answer.
-    async fn give(&self, order: Order) -> OrderReply {
-        let mut reply = OrderReply::Silent("not given".into());
+    async fn give(&self, order: Command) -> CommandReply {
+        let mut reply = CommandReply::Silent("not given".into());
         for _ in 0..ORDER_TIMES {
             // The lease may have lapsed while an answer was waited for.
-            if self.node.token(&self.target.domain) != Some(order.token) {
+            if self.node.token(&self.target.failure_domain) != Some(order.token) {
                 break;
             }
             let target = &self.target;
-            reply = outbound::order(&self.node, target, order.clone(), ORDER_TIMEOUT).await;
-            if !matches!(reply, OrderReply::Silent(_)) {
+            reply = outbound::command(&self.node, target, order.clone(), ORDER_TIMEOUT).await;
+            if !matches!(reply, CommandReply::Silent(_)) {
                 break;
             }
         }
@@ -98,23 +100,25 @@
 
     pub(super) async fn unload(&mut self, adapter: &AdapterRef) -> bool {
         let reply = self.order(Action::Unload, adapter, 0).await;
-        if !matches!(reply, OrderReply::Accepted | OrderReply::Holds) {
+        if !matches!(reply, CommandReply::Accepted | CommandReply::Holds) {
             return false;
         }
         let now = self.node.now();
         self.held.remove(adapter);
         let mut view = self.node.view();
         view.residency
-            .note(adapter, &self.target.id, Standing::Absent, now);
+            .record(adapter, &self.target.id, Presence::Absent, now);
         drop(view);
-        self.node.fleet.placed(&self.target.id, adapter, None);
+        self.node
+            .fleet
+            .record_placement(&self.target.id, adapter, None);
         true
     }
 
     /// Orders a model into an engine that has none, as after a restart.
     pub(super) async fn load_model(&mut self) {
         let now = self.node.now();
-        let empty = self.target.held.is_empty() && self.held.is_empty();
+        let empty = self.target.loaded.is_empty() && self.held.is_empty();
         if !empty || now < self.model_due || self.target.stage != Stage::Ready {
             return;
         }
@@ -122,7 +126,7 @@
             return;
         };
         let part = self.part_of_groups();
-        if !self.node.keepers.model_may_load(rate, part, now) {
+        if !self.node.controllers.model_may_load(rate, part, now) {
             self.model_due = now + IDLE_MS;
             return;
         }
@@ -135,7 +139,7 @@
         // Loads queue at the weight store, so one may take several times its own.
         self.model_due = self.node.now()
             + match reply {
-                OrderReply::Accepted | OrderReply::Holds => 4 * load_ms,
+                CommandReply::Accepted | CommandReply::Holds => 4 * load_ms,
                 _ => SETTLE.as_millis() as u64,
             };
     }
@@ -145,9 +149,9 @@
         let view = self.node.view();
         let config = view.config.as_ref()?;
         let engine = config.services.get(&self.target.service)?.engine.as_ref()?;
-        let holders = |name: &Name| view.targets.values().filter(|t| t.holds(name)).count();
+        let holders = |name: &Name| view.targets.values().filter(|t| t.has_model(name)).count();
         let model = engine.models.iter().min_by_key(|m| holders(&m.name))?;
-        Some((model.name.clone(), model.load_ms, engine.loads_rate))
+        Some((model.name.clone(), model.load_ms, engine.load_rate))
     }
 
     /// This daemon's part of the groups that have engines.
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -6,12 +6,12 @@
 use std::{sync::atomic::Ordering, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, IDLE_MS, Keeper, LOOK_MS, SETTLE, finish};
 use crate::{
     outbound,
-    ports::{NoReport, Report},
+    ports::{Report, ReportError},
 };
 
 /// Longest a report is waited for.
@@ -36,15 +36,15 @@
         }
     }
 
-    fn unreported(&mut self, why: &NoReport) {
+    fn unreported(&mut self, why: &ReportError) {
         log::info!(target: "keeper", id:% = self.target.id, why:%; "no report");
         let now = self.node.now();
         self.ready_at = now + SETTLE.as_millis() as u64;
-        if *why == NoReport::OtherBoot {
+        if *why == ReportError::Restarted {
             // Requests sent to the boot that is gone are refused, one by one.
             let until = now + IDLE_MS;
             let mut view = self.node.view();
-            view.dead.insert(self.target.id.clone(), until);
+            view.unavailable_until.insert(self.target.id.clone(), until);
         }
     }
 
@@ -53,7 +53,7 @@
         self.sequence = report.sequence;
         self.synced = true;
         let mut held: Map<AdapterRef, Hold> = Map::default();
-        for model in &report.held {
+        for model in &report.loaded {
             for (name, version) in &model.adapters {
                 let adapter = AdapterRef {
                     model: model.model.clone(),
@@ -64,7 +64,7 @@
                 held.insert(adapter, Hold { version, since });
             }
         }
-        let listed: Map<AdapterRef, u64> = report.coming.into_iter().collect();
+        let listed: Map<AdapterRef, u64> = report.loading.into_iter().collect();
         let old: Vec<AdapterRef> = self.coming.keys().cloned().collect();
         let old = old
             .into_iter()
@@ -93,7 +93,7 @@
         }
         self.show(&held, now);
         self.held = held;
-        if report.held.is_empty() && !report.busy {
+        if report.loaded.is_empty() && !report.busy {
             self.model_due = self.model_due.min(now);
         }
     }
@@ -101,31 +101,32 @@
     /// Shows what the engine holds to the request path.
     pub(super) fn show(&self, held: &Map<AdapterRef, Hold>, now: u64) {
         let mut view = self.node.view();
-        for (adapter, _) in view.residency.at(&self.target.id) {
+        for (adapter, _) in view.residency.held_adapters(&self.target.id) {
             if !held.contains_key(&adapter) {
                 view.residency
-                    .note(&adapter, &self.target.id, Standing::Absent, now);
+                    .record(&adapter, &self.target.id, Presence::Absent, now);
             }
         }
         for (adapter, hold) in held {
-            let standing = Standing::Held(hold.version);
-            view.residency.note(adapter, &self.target.id, standing, now);
+            let standing = Presence::Held(hold.version);
+            view.residency
+                .record(adapter, &self.target.id, standing, now);
         }
     }
 
     pub(super) fn add_coming(&mut self, adapter: AdapterRef, coming: Coming) {
         if !coming.recent {
-            self.node.keepers.coming.fetch_add(1, Ordering::Relaxed);
+            self.node.controllers.coming.fetch_add(1, Ordering::Relaxed);
         }
-        self.node.keepers.begin_load(&adapter, &self.target.id);
+        self.node.controllers.begin_load(&adapter, &self.target.id);
         self.coming.insert(adapter, coming);
     }
 
     pub(super) fn take_coming(&mut self, adapter: &AdapterRef) -> Option<Coming> {
         let coming = self.coming.remove(adapter)?;
-        self.node.keepers.end_load(adapter, &self.target.id);
+        self.node.controllers.end_load(adapter, &self.target.id);
         if !coming.recent {
-            self.node.keepers.coming.fetch_sub(1, Ordering::Relaxed);
+            self.node.controllers.coming.fetch_sub(1, Ordering::Relaxed);
         }
         Some(coming)
     }
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -34,17 +34,17 @@
 const STRIDE: u64 = 1_000;
 
 /// A lease without its way to the store.
-pub(crate) trait Held: Send + Sync {
+pub(crate) trait HeldLease: Send + Sync {
     fn token(&self, now: Instant) -> Option<u64>;
-    fn lapsed(&self) -> Option<u64>;
+    fn expired_token(&self) -> Option<u64>;
 }
 
-impl<R: Rows> Held for Lease<R> {
+impl<R: Rows> HeldLease for Lease<R> {
     fn token(&self, now: Instant) -> Option<u64> {
         Lease::token(self, now)
     }
 
-    fn lapsed(&self) -> Option<u64> {
+    fn expired_token(&self) -> Option<u64> {
         self.lapsed_token()
     }
 }
@@ -52,7 +52,7 @@
 /// The leases this daemon knows.
 #[derive(Default)]
 pub(crate) struct Leases {
-    held: Mutex<Map<Name, Arc<dyn Held>>>,
+    held: Mutex<Map<Name, Arc<dyn HeldLease>>>,
     /// Tokens that stopping holders handed to this daemon, by group.
     ceded: Mutex<Map<Name, u64>>,
     /// Highest token of another holder by group, as told by engines and peers.
@@ -76,7 +76,7 @@
             held.get(group).cloned()
         };
         let current = lease.as_ref().and_then(|l| l.token(clock::instant()));
-        let lapsed = lease.and_then(|l| l.lapsed().filter(|_| fencing));
+        let lapsed = lease.and_then(|l| l.expired_token().filter(|_| fencing));
         let ceded = {
             let ceded = self.ceded.lock().expect("no holder of this lock panics");
             ceded.get(group).copied().filter(|_| fencing)
@@ -95,14 +95,14 @@
     /// cannot give its lease back, and all loads of its group stand still
     /// until the store is back and a lease's length has passed: 9 s in an
     /// incident with an outage of 8 s.
-    pub(crate) fn cede(&self, group: &str, fencing: bool) -> Option<u64> {
+    pub(crate) fn hand_over(&self, group: &str, fencing: bool) -> Option<u64> {
         let token = self.token(group, fencing).filter(|_| fencing)?;
-        self.beat(group, token);
+        self.observe_token(group, token);
         Some(token + 1)
     }
 
     /// Goes on with `group` under `token` for a holder that stopped.
-    pub(crate) fn accept(&self, group: &str, token: u64) {
+    pub(crate) fn accept_handover(&self, group: &str, token: u64) {
         let mut ceded = self.ceded.lock().expect("no holder of this lock panics");
         let known = ceded.entry(group.into()).or_default();
         *known = token.max(*known);
@@ -136,18 +136,18 @@
     }
 
     /// Whether this daemon holds any group.
-    pub(crate) fn any(&self, fencing: bool) -> bool {
+    pub(crate) fn holds_any(&self, fencing: bool) -> bool {
         !self.held(fencing).is_empty()
     }
 
     /// Another holder of `group` has `token`, or an engine refused it.
-    pub(crate) fn beat(&self, group: &str, token: u64) {
+    pub(crate) fn observe_token(&self, group: &str, token: u64) {
         let mut beaten = self.beaten.lock().expect("no holder of this lock panics");
         let highest = beaten.entry(group.into()).or_default();
         *highest = token.max(*highest);
     }
 
-    pub(crate) fn add(&self, group: &Name, lease: Arc<dyn Held>) {
+    pub(crate) fn add(&self, group: &Name, lease: Arc<dyn HeldLease>) {
         let mut held = self.held.lock().expect("no holder of this lock panics");
         held.insert(group.clone(), lease);
     }
@@ -163,7 +163,7 @@
         let service = config.services.get(&t.service);
         service.is_some_and(|s| s.engine.is_some())
     });
-    let mut out: Vec<Name> = engines.map(|t| t.domain.clone()).collect();
+    let mut out: Vec<Name> = engines.map(|t| t.failure_domain.clone()).collect();
     out.sort();
     out.dedup();
     out
@@ -182,7 +182,7 @@
         let former = former(&node, &rows).await;
         loop {
             let term = Duration::from_millis(node.settings().bounds.lease_ms);
-            if node.leaving() {
+            if node.draining() {
                 let kept = release(&leases, term).await;
                 hand_on(&node, &kept).await;
                 return;
@@ -228,7 +228,9 @@
     }
     let limit = Duration::from_millis(settings.bounds.lease_ms) / STEP_PART;
     let why =
-        match tokio::time::timeout(limit, comfreyhall_lease::held_by(rows, &settings.id)).await {
+        match tokio::time::timeout(limit, comfreyhall_lease::leases_held_by(rows, &settings.id))
+            .await
+        {
             Ok(Ok(names)) => return names.into_iter().collect(),
             Ok(Err(e)) => e.to_string(),
             Err(_) => "no answer in time".to_string(),
@@ -287,7 +289,7 @@
     let ahead = node.fleet.ahead(group, node.now());
     // What goes wrong without the last: the first of 195 daemons to be ready
     // knows of no other yet, and took the leases of four domains out of five.
-    let stranger = *node.settings().domain != **group && node.age() < VACANT_TERMS * term_ms;
+    let stranger = *node.settings().domain != **group && node.uptime_ms() < VACANT_TERMS * term_ms;
     let class = match (ahead.better, node.fleet.weak() || stranger) {
         (true, _) => VACANT_TERMS * term_ms,
         (false, true) => term_ms,
@@ -329,7 +331,7 @@
     }
     let after = lease.token(clock::instant());
     if before != after {
-        node.metrics.lease(after.is_some());
+        node.metrics.lease_change(after.is_some());
         log::info!(target: "leases", group:% = group, before:? = before, token:? = after; "lease changed");
         node.changed.notify_waiters();
         if after.is_some() {
@@ -366,7 +368,7 @@
         let Some(to) = node.fleet.successor(group, now) else {
             continue;
         };
-        if let Some(token) = node.leases.cede(group, fencing) {
+        if let Some(token) = node.leases.hand_over(group, fencing) {
             log::info!(target: "leases", group:% = group, token, to:% = to; "orders handed on");
             node.fleet.cede(group, token, &to);
         }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -15,19 +15,22 @@
     time::Duration,
 };
 
-use comfreyhall_backpressure::{Change, Gates, Notice};
-use comfreyhall_domain::{Ask, Target};
+use comfreyhall_backpressure::{Change, Notice, TargetSignals};
+use comfreyhall_domain::{ClientRequest, Target};
 use rand::Rng;
 use tokio::time::timeout;
 
 pub(crate) use self::{
-    limits::{grant, learn, limits, own_words, words, words_of_holder},
-    shut::{Closed, Shut, closed, leaves, why_shut},
+    limits::{grant, holder_notices, limits, merge_notices, notices, own_notices},
+    shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
-    caps::{self, Credit, Of, Refused},
+    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
-    ports::{Extra, Heard, NoReport, Order, OrderReply, Pulse, Report, Response, SendError},
+    ports::{
+        Command, CommandReply, ProbeResult, Report, ReportError, Response, SendError, SendOptions,
+        TargetReply,
+    },
 };
 
 /// Part of a rest, as its divisor, by which it is lengthened at most.
@@ -36,11 +39,11 @@
 /// What this daemon knows of what targets say.
 #[derive(Default)]
 pub(crate) struct Outbound {
-    gates: Mutex<Gates>,
+    gates: Mutex<TargetSignals>,
 }
 
 impl Outbound {
-    fn gates(&self) -> MutexGuard<'_, Gates> {
+    fn gates(&self) -> MutexGuard<'_, TargetSignals> {
         self.gates.lock().expect("no holder of this lock panics")
     }
 }
@@ -48,12 +51,12 @@
 /// The same with a rest that is somewhat longer. Daemons that were told together
 /// would come back together, and give the target no rest after its rest.
 fn spread(notice: &Notice) -> Cow<'_, Notice> {
-    let Some(rest_ms) = notice.rest_ms else {
+    let Some(rest_ms) = notice.cooldown_ms else {
         return Cow::Borrowed(notice);
     };
     let more = rand::rng().random_range(0..=rest_ms / REST_SPREAD);
     Cow::Owned(Notice {
-        rest_ms: Some(rest_ms + more),
+        cooldown_ms: Some(rest_ms + more),
         ..notice.clone()
     })
 }
@@ -64,7 +67,10 @@
     let now = node.now();
     log::odd(node, target, notice, now);
     let notice = spread(notice);
-    let changes = node.outbound.gates().hear(&target.id, &notice, sent, now);
+    let changes = node
+        .outbound
+        .gates()
+        .record_notice(&target.id, &notice, sent, now);
     // Most answers say nothing new.
     if changes.is_empty() {
         return;
@@ -74,7 +80,7 @@
         let age = sent.map_or(0, |s| now - s);
         log::changed(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
-            caps::refresh(node, Of::Targets);
+            caps::refresh(node, QuotaKind::Targets);
             limits::announce(node, &target.id);
         }
     }
@@ -83,7 +89,7 @@
 /// Forgets what targets said that counts no more.
 pub(crate) fn sweep(node: &Node) {
     let now = node.now();
-    let ended = node.outbound.gates().sweep(now);
+    let ended = node.outbound.gates().expire(now);
     for (target, change) in ended {
         log::changed(node, &target, change, "time", 0);
     }
@@ -100,7 +106,7 @@
     /// Nothing reached the target after all.
     fn give_back(self) {
         if let Some(credit) = self.credit {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
@@ -111,8 +117,8 @@
     node: &Arc<Node>,
     target: &Target,
     granted: bool,
-) -> Result<Permit, Closed> {
-    if let Some(closed) = closed(node, &target.id) {
+) -> Result<Permit, Unavailable> {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(closed);
     }
     if granted {
@@ -120,9 +126,9 @@
         return Ok(Permit { credit });
     }
     let credit = limits::reserve(node, target).await.map_err(|refused| {
-        let (Refused::Over { retry_ms } | Refused::Unsure { retry_ms }) = refused;
+        let (QuotaError::Exceeded { retry_ms } | QuotaError::Unknown { retry_ms }) = refused;
         let why = "its limit is used up";
-        Closed { why, retry_ms }
+        Unavailable { why, retry_ms }
     })?;
     Ok(Permit { credit })
 }
@@ -132,22 +138,23 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     mut permit: Permit,
-    ask: Arc<Ask>,
-    extra: Extra,
+    ask: Arc<ClientRequest>,
+    options: SendOptions,
     patience: Duration,
 ) -> Result<Response, SendError> {
     // It may have said so since the permit was taken.
-    if let Some(closed) = closed(node, &target.id) {
+    if let Some(closed) = unavailable(node, &target.id) {
         return Err(SendError::NotSent(closed.why.into()));
     }
     // From here on it may arrive, also if nobody waits for it any more.
     if let Some(credit) = &mut permit.credit {
-        credit.sent();
+        credit.mark_sent();
     }
     let sent = node.now();
-    let call = node.backend.send(target.clone(), ask, extra);
+    let call = node.backend.send(target.clone(), ask, options);
     let answer = timeout(patience, call).await;
-    let answer = answer.unwrap_or_else(|_| Err(SendError::Doubt("no answer in time".into())));
+    let answer =
+        answer.unwrap_or_else(|_| Err(SendError::Indeterminate("no answer in time".into())));
     match &answer {
         Ok(response) => hear(node, target, &response.notice, Some(sent)),
         Err(SendError::NotSent(_)) => permit.give_back(),
@@ -157,19 +164,19 @@
 }
 
 /// Gives an order; waits for the answer for `patience`.
-pub(crate) async fn order(
+pub(crate) async fn command(
     node: &Arc<Node>,
     target: &Arc<Target>,
-    order: Order,
+    command: Command,
     patience: Duration,
-) -> OrderReply {
-    if closed(node, &target.id).is_some() {
-        return OrderReply::Unsent;
+) -> CommandReply {
+    if unavailable(node, &target.id).is_some() {
+        return CommandReply::Unsent;
     }
-    let call = node.backend.order(target.clone(), order);
+    let call = node.backend.command(target.clone(), command);
     match timeout(patience, call).await {
         Ok(heard) => take(node, target, heard),
-        Err(_) => OrderReply::Silent("no answer in time".into()),
+        Err(_) => CommandReply::Silent("no answer in time".into()),
     }
 }
 
@@ -178,28 +185,28 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     patience: Duration,
-) -> Result<Report, NoReport> {
-    if let Some(closed) = closed(node, &target.id) {
-        return Err(NoReport::Silent(closed.why.into()));
+) -> Result<Report, ReportError> {
+    if let Some(closed) = unavailable(node, &target.id) {
+        return Err(ReportError::NoAnswer(closed.why.into()));
     }
     let call = node.backend.report(target.clone());
     match timeout(patience, call).await {
         Ok(heard) => take(node, target, heard),
-        Err(_) => Err(NoReport::Silent("no answer in time".into())),
+        Err(_) => Err(ReportError::NoAnswer("no answer in time".into())),
     }
 }
 
 /// Looks whether `target` is there; not while it rests, but one that leaves is
 /// looked at to see whether it has ended.
-pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> Pulse {
-    if node.outbound.gates().rest_ms(&target.id, node.now()) > 0 {
-        return Pulse::Silent;
+pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> ProbeResult {
+    if node.outbound.gates().cooldown_ms(&target.id, node.now()) > 0 {
+        return ProbeResult::NoAnswer;
     }
     let heard = node.backend.probe(target.clone()).await;
     take(node, target, heard)
 }
 
-fn take<T>(node: &Arc<Node>, target: &Target, heard: Heard<T>) -> T {
+fn take<T>(node: &Arc<Node>, target: &Target, heard: TargetReply<T>) -> T {
     hear(node, target, &heard.notice, None);
     heard.answer
 }
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use comfreyhall_domain::{Map, Name, Set, Stage};
-use comfreyhall_quarantine::{Change, Evidence, Finding, Fingerprint, Quarantine, Status};
+use comfreyhall_quarantine::{Change, Evidence, Fingerprint, Observation, Quarantine, Status};
 use tokio::sync::Notify;
 
 pub(crate) use self::spread::spawn;
@@ -31,7 +31,7 @@
 
 /// What this daemon knows of requests that end targets.
 #[derive(Default)]
-pub(crate) struct Watch {
+pub(crate) struct QuarantineTracker {
     state: Mutex<State>,
     /// Wakes the duty that tells the other daemons.
     found: Notify,
@@ -61,16 +61,16 @@
 
 /// When the caller of a request that is being tried is told to come back, in
 /// ms: its fate is known to everyone by then.
-pub(crate) const TRIED_MS: u64 = 5_000;
+pub(crate) const TRIAL_RETRY_MS: u64 = 5_000;
 
 /// Whether a request may be sent now.
 pub(crate) enum Admission {
     /// Like any other.
-    Free,
+    Allowed,
     /// Once, to see whether it is to blame.
     Trial(Trial),
     /// Not; its caller may come back after so many ms.
-    Held(u64),
+    Quarantined(u64),
 }
 
 /// A trial of a request that is held back; nobody else here makes one while
@@ -87,7 +87,7 @@
     }
 }
 
-impl Watch {
+impl QuarantineTracker {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no holder of this lock panics")
     }
@@ -99,39 +99,44 @@
     }
 
     /// Whether a target ended under `fingerprint`.
-    pub(crate) fn suspects(&self, fingerprint: &Fingerprint) -> bool {
-        self.state().known.suspects(fingerprint)
+    pub(crate) fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
+        self.state().known.is_suspect(fingerprint)
     }
 
     /// The targets that ended under `fingerprint`, for the log.
-    pub(crate) fn ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
-        log::ends(self.state().known.ends(fingerprint), now)
+    pub(crate) fn describe_ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
+        log::ends(self.state().known.target_ends(fingerprint), now)
     }
 }
 
 /// Whether `fingerprint` may be sent by this daemon now.
 pub(crate) fn admit(node: &Arc<Node>, fingerprint: Fingerprint) -> Admission {
-    if !node.quarantine.state().known.holds(&fingerprint) {
-        return Admission::Free;
+    if !node.quarantine.state().known.is_quarantined(&fingerprint) {
+        return Admission::Allowed;
     }
     let now = node.now();
     let rank = node.fleet.rank(&fingerprint.to_string(), now);
     let mut state = node.quarantine.state();
     match state.known.status(&fingerprint, rank, now) {
-        Status::Free => Admission::Free,
-        Status::Held { retry_ms } => Admission::Held(retry_ms),
+        Status::Allowed => Admission::Allowed,
+        Status::Quarantined { retry_ms } => Admission::Quarantined(retry_ms),
         Status::Trial if state.trials.insert(fingerprint) => {
             drop(state);
             let node = node.clone();
             Admission::Trial(Trial { node, fingerprint })
         }
-        Status::Trial => Admission::Held(TRIED_MS),
+        Status::Trial => Admission::Quarantined(TRIAL_RETRY_MS),
     }
 }
 
 /// The target closed the connection of a run of `fingerprint`; `early`: it had
 /// just begun to run it, as far as is known.
-pub(crate) fn broke(node: &Arc<Node>, target: &Name, fingerprint: Fingerprint, early: bool) {
+pub(crate) fn connection_closed(
+    node: &Arc<Node>,
+    target: &Name,
+    fingerprint: Fingerprint,
+    early: bool,
+) {
     if !stays(node, target) {
         return;
     }
@@ -157,7 +162,7 @@
 /// Whether `target` is to stay: one that leaves ends whatever it runs, and its
 /// entry may go before it does. One that crashes is listed for some seconds.
 fn stays(node: &Node, target: &Name) -> bool {
-    if outbound::leaves(node, target) {
+    if outbound::is_draining(node, target) {
         return false;
     }
     let view = node.view();
@@ -166,9 +171,9 @@
 }
 
 /// A target ran `fingerprint` to its end.
-pub(crate) fn ran_whole(node: &Arc<Node>, fingerprint: Fingerprint) {
-    if node.quarantine.suspects(&fingerprint) {
-        found(node, fingerprint, Finding::RanWhole, node.now());
+pub(crate) fn run_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
+    if node.quarantine.is_suspect(&fingerprint) {
+        found(node, fingerprint, Observation::Completed, node.now());
     }
 }
 
@@ -197,8 +202,8 @@
     node.quarantine.settled.notify_waiters();
 }
 
-fn ended(target: &Name, early: bool) -> Finding {
-    Finding::Ended {
+fn ended(target: &Name, early: bool) -> Observation {
+    Observation::TargetEnded {
         target: target.clone(),
         early,
     }
@@ -208,12 +213,12 @@
 ///
 /// What goes wrong if an end counts from when it was looked at: the request
 /// runs whole in between, and is a suspect again for what was before.
-fn found(node: &Arc<Node>, fingerprint: Fingerprint, finding: Finding, at: u64) {
+fn found(node: &Arc<Node>, fingerprint: Fingerprint, finding: Observation, at: u64) {
     let evidence = Evidence {
         fingerprint,
-        finding,
-        at,
-        witness: node.settings().id.as_ref().into(),
+        observation: finding,
+        at_ms: at,
+        observer: node.settings().id.as_ref().into(),
     };
     if learn(node, evidence) {
         node.quarantine.found.notify_one();
@@ -225,16 +230,16 @@
     let now = node.now();
     let mut state = node.quarantine.state();
     let before = state.known.serial();
-    let changes = state.known.learn(evidence.clone(), now);
+    let changes = state.known.record(evidence.clone(), now);
     let new = state.known.serial() > before;
     log::changes(node, &state.known, &changes, Some(&evidence), now);
     drop(state);
-    if let Finding::Ended { target, .. } = evidence.finding
+    if let Observation::TargetEnded { target, .. } = evidence.observation
         && new
     {
         // A boot that has ended takes nothing any more; without this every
         // daemon finds out by itself until the entry goes.
-        node.view().dead.insert(target, now + ENDED_MS);
+        node.view().unavailable_until.insert(target, now + ENDED_MS);
     }
     new
 }
@@ -243,6 +248,6 @@
 fn forget(node: &Node) {
     let now = node.now();
     let mut state = node.quarantine.state();
-    let changes: Vec<Change> = state.known.forget(now);
+    let changes: Vec<Change> = state.known.expire(now);
     log::changes(node, &state.known, &changes, None, now);
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -1,11 +1,11 @@
 //! Who calls, whether that still holds, and whether it may use more.
 
-use comfreyhall_domain::{Allowance, Answer, Ask, Caller, Config, Route, answer_for};
-use comfreyhall_inforce::{InForce, Taken, Verdict};
+use comfreyhall_domain::{Allowance, Answer, Caller, ClientRequest, Config, Route, answer_for};
+use comfreyhall_inforce::{AppliedVersion, Freshness, SettingsTracker};
 
 use super::{Job, NOT_READY_MS, Reply};
 use crate::{
-    caps::{self, Of, Refused},
+    caps::{self, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -25,9 +25,13 @@
 }
 
 /// The route of `ask` and who calls, by `config`.
-pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Turned> {
-    let path = ask.message.path.split('?').next().unwrap_or("");
-    let Some(route) = config.route(&ask.host, path) else {
+pub(super) fn admit(
+    node: &Node,
+    config: &Config,
+    ask: &ClientRequest,
+) -> Result<(Route, Caller), Turned> {
+    let path = ask.forwarded.path.split('?').next().unwrap_or("");
+    let Some(route) = config.match_route(&ask.host, path) else {
         // The route may have been added where this daemon could not hear of it.
         return Err(match node.settings_may_lag() {
             true => Turned::Unsure,
@@ -37,7 +41,7 @@
     if config.workspaces.is_some() && !route.public && node.keys_lapsed() {
         return Err(Turned::Unsure);
     }
-    match config.caller(route, ask.key.as_ref()) {
+    match config.resolve_caller(route, ask.key.as_ref()) {
         Some(caller) => Ok((route.clone(), caller)),
         // A caller does not come back after the final answer, and the key may
         // have been given out a moment ago.
@@ -63,16 +67,16 @@
 }
 
 impl Basis {
-    pub(super) fn of(known: &InForce, now: u64) -> Self {
+    pub(super) fn of(known: &SettingsTracker, now: u64) -> Self {
         let since = |at: u64| now.saturating_sub(at);
-        let from = |taken: &Taken| taken.way.to_string();
+        let from = |taken: &AppliedVersion| taken.source.to_string();
         Self {
             row: known.newest(),
-            from: known.taken().map_or_else(String::new, from),
-            held: known.taken().map_or(0, |t| since(t.at)),
-            age: known.age(now),
-            newer: known.heard().map_or(0, |h| h.version),
-            away: known.away().map_or(0, since),
+            from: known.last_applied().map_or_else(String::new, from),
+            held: known.last_applied().map_or(0, |t| since(t.applied_at_ms)),
+            age: known.age_ms(now),
+            newer: known.newer_version().map_or(0, |h| h.version),
+            away: known.store_down_since().map_or(0, since),
         }
     }
 }
@@ -82,8 +86,12 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().book.in_force.verdict(self.now(), bound);
-        verdict == Verdict::Stale
+        let verdict = self
+            .view()
+            .records
+            .settings_sync
+            .freshness(self.now(), bound);
+        verdict == Freshness::Stale
     }
 
     /// Whether no key counts any more, since it may have been taken back.
@@ -92,23 +100,23 @@
             return false;
         };
         let now = self.now();
-        self.view().book.in_force.age(now) > most
+        self.view().records.settings_sync.age_ms(now) > most
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
     /// flood of them.
-    pub(super) fn turn_away(&self, ask: &Ask, config: u64, why: Turned) -> Reply {
+    pub(super) fn turn_away(&self, ask: &ClientRequest, config: u64, why: Turned) -> Reply {
         let (reply, refusal) = match why {
             Turned::NoRoute => (Reply::NoRoute, "no route"),
-            Turned::NoKey => (Reply::NoKey, "unknown key"),
+            Turned::NoKey => (Reply::UnknownKey, "unknown key"),
             Turned::Unsure => {
                 let retry_ms = NOT_READY_MS;
                 (Reply::NotReady { retry_ms }, "newer settings may allow it")
             }
         };
         self.metrics.refusal(refusal);
-        if let Some(left_out) = self.flood.turned.take(self.now()) {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+        if let Some(left_out) = self.log_limits.turned.take(self.now()) {
+            let basis = Basis::of(&self.view().records.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.row, from = basis.from, held = basis.held, age = basis.age, newer = basis.newer, away = basis.away; "turned away");
         }
         reply
@@ -121,21 +129,21 @@
         let workspace = self.caller.workspace()?.clone();
         let cap = match workspace.allowance {
             Allowance::Unlimited => return None,
-            Allowance::Closed => {
+            Allowance::Denied => {
                 return Some(self.refuse_credit(
                     0,
-                    Refused::Over {
+                    QuotaError::Exceeded {
                         retry_ms: CLOSED_MS,
                     },
                 ));
             }
-            Allowance::Capped(cap) => cap,
+            Allowance::Limited(cap) => cap,
         };
         let tokens = self.ask.tokens;
-        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.output));
-        let size = cap.size(tokens);
-        self.node.caps.catch_up(&self.node, config);
-        match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
+        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
+        let size = cap.cost(tokens);
+        self.node.quotas.sync_config(&self.node, config);
+        match caps::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
                 None
@@ -145,13 +153,13 @@
     }
 
     /// The final answer to a request without credit, at once.
-    fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
+    fn refuse_credit(&mut self, size: u64, why: QuotaError) -> Reply {
         self.ended = true;
         let now = self.node.now();
         let workspace = self.caller.workspace().map_or("", |w| &*w.name).to_string();
         let (reason, over, retry_ms) = match why {
-            Refused::Over { retry_ms } => ("over its cap", true, retry_ms),
-            Refused::Unsure { retry_ms } => ("its use is not known", false, retry_ms),
+            QuotaError::Exceeded { retry_ms } => ("over its cap", true, retry_ms),
+            QuotaError::Unknown { retry_ms } => ("its use is not known", false, retry_ms),
         };
         let retry_ms = self.retry_ms(retry_ms as f64);
         let answer = match over {
@@ -159,14 +167,14 @@
             false => Answer::NotRun { retry_ms },
         };
         self.node.metrics.refusal(reason);
-        self.node.metrics.workspace(&workspace, reason);
+        self.node.metrics.workspace_refusal(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
-        if let Some(left_out) = self.node.flood.capped.take(now) {
-            let basis = self.node.caps.basis(&workspace, now);
-            let home = basis.home.as_deref().unwrap_or("");
+        if let Some(left_out) = self.node.log_limits.capped.take(now) {
+            let basis = self.node.quotas.basis(&workspace, now);
+            let home = basis.coordinator.as_deref().unwrap_or("");
             // Whole units a second, and per cent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
-            let (held, lends) = (basis.held as u64, (basis.part * 100.0) as u64);
+            let (held, lends) = (basis.balance as u64, (basis.lendable_share * 100.0) as u64);
             log::info!(target: "caps", id:% = self.ask.id, route:% = self.route.name, workspace, size, why = reason, cap, lent, lends, home, age = basis.age_ms, held, demand, retry_ms, left_out; "refused");
         }
         Reply::Unanswered(answer)
@@ -189,7 +197,7 @@
         if config.version == self.config {
             return true;
         }
-        let found = config.caller(&self.route, self.ask.key.as_ref());
+        let found = config.resolve_caller(&self.route, self.ask.key.as_ref());
         let found = found.as_ref().and_then(Caller::workspace);
         found.is_some_and(|w| w.name == known.name)
     }
@@ -205,18 +213,18 @@
         }
         let held = self.node.now() - self.began;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
-        match self.verdict.doubt {
+        match self.verdict.may_have_run {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
-            false => Reply::NoKey,
+            false => Reply::UnknownKey,
         }
     }
 
     /// Its credit goes back if it has surely not run.
     pub(super) fn give_credit_back(&mut self) {
         if let Some(credit) = self.credit.take()
-            && !self.verdict.doubt
+            && !self.verdict.may_have_run
         {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use comfreyhall_domain::{Kind, Name, Outcome, Refusal};
-use comfreyhall_routing::Standing;
+use comfreyhall_domain::{Name, Outcome, Refusal, RouteKind};
+use comfreyhall_routing::Presence;
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
 
@@ -12,8 +12,8 @@
 use crate::{
     choose::{self, Plan},
     flight::{Flight, Seat},
-    outbound::{self, Permit, Shut},
-    ports::{Body, Broken, Extra, Response, SendError},
+    outbound::{self, Permit, UnavailableTargets},
+    ports::{Body, BodyError, Response, SendError, SendOptions},
     relay::Relay,
 };
 
@@ -48,7 +48,7 @@
     pub(super) fn patience(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
         let mute = self.node.policies().patience;
-        if !mute || !choose::repeatable(&self.route) || tries >= self.route.attempts {
+        if !mute || !choose::repeatable(&self.route) || tries >= self.route.max_attempts {
             return self.left();
         }
         let patience = PATIENCE_MS + (plan.wait_ms * PATIENCE_TIMES) as u64;
@@ -71,19 +71,19 @@
     /// Ms until one of its targets may take something, if none does now.
     pub(super) fn shut_ms(&self) -> Option<u64> {
         let now = self.node.now();
-        let shut = Shut::now(&self.node, now);
-        let ready = self.node.view().ready(&self.service, now);
-        shut.all_ms(ready.iter().map(|t| &t.id))
+        let unavailable = UnavailableTargets::current(&self.node, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
+        unavailable.all_ms(ready.iter().map(|t| &t.id))
     }
 
     /// One line on why none of its targets takes anything, but for a flood of them.
     pub(super) fn tell_shut(&self) {
         let now = self.node.now();
-        let Some(left_out) = self.node.flood.shut.take(now) else {
+        let Some(left_out) = self.node.log_limits.shut.take(now) else {
             return;
         };
-        let ready = self.node.view().ready(&self.service, now);
-        let targets = outbound::why_shut(&self.node, &ready, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
+        let targets = outbound::describe_unavailable(&self.node, &ready, now);
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, targets, left_out; "targets take nothing");
     }
 
@@ -94,45 +94,48 @@
         permit: Permit,
         last_event: Option<u64>,
     ) -> Result<(Response, Flight), ()> {
-        let extra = Extra {
-            left_ms: self.left(),
-            expect: plan.expect,
+        let options = SendOptions {
+            timeout_ms: self.left(),
+            required_version: plan.expect,
             priority: self.rank,
             workspace: self.caller.workspace().map(|w| w.name.clone()),
             last_event,
         };
         if let Some(credit) = &mut self.credit {
-            credit.sent();
+            credit.mark_sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
         let seat = self.seat(plan);
         let flight = Flight::begin(&self.node, &plan.target, adapter, plan.tokens, seat);
         let patience = Duration::from_millis(self.patience(plan));
         let ask = self.ask.clone();
-        match outbound::send(&self.node, &plan.target, permit, ask, extra, patience).await {
+        match outbound::send(&self.node, &plan.target, permit, ask, options, patience).await {
             Ok(response) => {
                 self.arrive(&plan.target.id);
                 Ok((response, flight))
             }
             Err(SendError::NotSent(why)) => {
-                self.verdict.add(Outcome::NotSent);
+                self.verdict.record(Outcome::NotSent);
                 flight.note(false, UNREACHED_WEIGHT);
                 let until = self.node.now() + UNREACHED_MS;
-                self.node.view().dead.insert(plan.target.id.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(plan.target.id.clone(), until);
                 self.tell(&plan.target.id, "not sent", &why);
                 Err(())
             }
-            Err(SendError::Closed(why)) => {
+            Err(SendError::ConnectionClosed(why)) => {
                 self.arrive(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
                 self.broke(&flight);
                 self.tell(&plan.target.id, "in doubt", &why);
                 Err(())
             }
-            Err(SendError::Doubt(why)) => {
+            Err(SendError::Indeterminate(why)) => {
                 self.arrive(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
                 self.tell(&plan.target.id, "in doubt", &why);
                 Err(())
@@ -144,7 +147,7 @@
     /// own if it goes there unasked; none at a target that is no engine.
     fn seat(&self, plan: &mut Plan) -> Option<Seat> {
         let own = || {
-            let run = self.node.fleet.next_run();
+            let run = self.node.fleet.next_run_id();
             Seat::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
@@ -176,13 +179,13 @@
             self.refused(refusal, &flight, &plan);
             return Next::Again;
         }
-        if response.status.is_success() && !response.genuine {
-            self.verdict.add(Outcome::Doubt);
+        if response.status.is_success() && !response.verified {
+            self.verdict.record(Outcome::Indeterminate);
             flight.note(false, FAILED_WEIGHT);
             self.tell(&flight.target, "in doubt", "the answer is not a target's");
             return Next::Again;
         }
-        if response.status.is_success() && response.events {
+        if response.status.is_success() && response.event_stream {
             return self.relay(response, flight, plan).await;
         }
         let (status, headers) = (response.status, response.headers);
@@ -196,14 +199,14 @@
             broken => {
                 let why = match broken {
                     Ok(Err(broken)) => {
-                        if broken.closed {
+                        if broken.connection_closed {
                             self.broke(&flight);
                         }
-                        broken.why
+                        broken.reason
                     }
                     _ => "its time is up".to_string(),
                 };
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 flight.note(false, FAILED_WEIGHT);
                 self.tell(&flight.target, "broken off", &why);
                 Next::Again
@@ -212,17 +215,21 @@
     }
 
     pub(super) fn refused(&mut self, refusal: Refusal, flight: &Flight, plan: &Plan) {
-        self.verdict.add(Outcome::Refused(refusal));
+        self.verdict.record(Outcome::Refused(refusal));
         let now = self.node.now();
         let target = &flight.target;
         match (refusal, &self.ask.adapter) {
-            (Refusal::Elsewhere, Some(adapter)) => {
+            (Refusal::WrongTarget, Some(adapter)) => {
                 let mut view = self.node.view();
-                view.residency.note(adapter, target, Standing::Absent, now);
+                view.residency
+                    .record(adapter, target, Presence::Absent, now);
             }
-            (Refusal::Elsewhere, None) => {
+            (Refusal::WrongTarget, None) => {
                 let until = now + UNREACHED_MS;
-                self.node.view().dead.insert(target.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(target.clone(), until);
             }
             (Refusal::Full, _) => {
                 self.full += 1;
@@ -236,7 +243,7 @@
             "refused",
             match refusal {
                 Refusal::Full => "the target is full",
-                Refusal::Elsewhere => "it is not there",
+                Refusal::WrongTarget => "it is not there",
                 Refusal::Other => "for a reason of its own",
             },
         );
@@ -246,7 +253,7 @@
     pub(super) async fn relay(&mut self, response: Response, flight: Flight, plan: Plan) -> Next {
         let (status, headers) = (response.status, response.headers);
         let patience = self.patience(&plan).saturating_sub(flight.took()).max(1);
-        let mut relay = Relay::new(response.body, flight, self.ask.last_event);
+        let mut relay = Relay::new(response.body, flight, self.ask.last_event_id);
         let first = relay.first(Duration::from_millis(patience)).await;
         match first {
             Ok(()) => {
@@ -254,12 +261,13 @@
                     let now = self.node.now();
                     let mut view = self.node.view();
                     let target = &plan.target.id;
-                    view.prefixes.note(adapter, &self.ask.parts, target, now);
+                    view.prefixes
+                        .record(adapter, &self.ask.prompt_segments, target, now);
                 }
                 let job = self.take();
-                self.node.metrics.first(job.first);
+                self.node.metrics.first_event(job.first);
                 let body = relay.run(job);
-                Next::Reply(Reply::Events {
+                Next::Reply(Reply::Stream {
                     status,
                     headers,
                     body,
@@ -269,7 +277,7 @@
                 if relay.closed {
                     self.broke(&relay.flight);
                 }
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 relay.flight.note(false, FAILED_WEIGHT);
                 self.tell(&plan.target.id, "broken off before its first event", &why);
                 Next::Again
@@ -322,18 +330,18 @@
         flight.note(ok, FAILED_WEIGHT);
         if ok {
             let took = flight.took();
-            self.node.view().board.learn_took(&flight.target, took);
+            self.node.view().board.record_duration(&flight.target, took);
         }
-        self.verdict.add(Outcome::Answered);
+        self.verdict.record(Outcome::Answered);
         self.ran_whole();
-        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = flight.target, status = status.as_u16(), ms = now - self.began, aim = self.route.target_ms, sends = self.verdict.sends; "answered");
+        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = flight.target, status = status.as_u16(), ms = now - self.began, aim = self.route.objective_ms, sends = self.verdict.sends; "answered");
         self.node
             .metrics
             .request(self.route.kind, if ok { "answered" } else { "failed" });
-        let again = self.route.kind == Kind::Safe
+        let again = self.route.kind == RouteKind::Idempotent
             && !ok
-            && (self.tried.len() as u32) < self.route.attempts
-            && self.left() > self.route.target_ms / 4;
+            && (self.tried.len() as u32) < self.route.max_attempts
+            && self.left() > self.route.objective_ms / 4;
         if again {
             self.spare = Some((status, headers, body));
             return Next::Again;
@@ -348,7 +356,7 @@
         last_event: Option<u64>,
     ) -> Result<(Response, Flight), ()> {
         let may = self.verdict.may_send(self.route.repeatable(), u32::MAX)
-            && (self.tried.len() as u32) < self.route.attempts;
+            && (self.tried.len() as u32) < self.route.max_attempts;
         if !may || self.left() == 0 || self.held_back().await.is_some() || !self.repeat() {
             return Err(());
         }
@@ -371,7 +379,7 @@
 }
 
 /// A whole body, or why it broke off.
-async fn collect(mut body: Body) -> Result<Bytes, Broken> {
+async fn collect(mut body: Body) -> Result<Bytes, BodyError> {
     let mut out = BytesMut::new();
     while let Some(piece) = body.next().await {
         out.extend_from_slice(&piece?);
