--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -63,7 +63,7 @@
 pub(super) fn homes(node: &Node, of: QuotaKind, groups: &[Name]) -> Met {
     let now = node.now();
     let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
-    let first = |group: &Name| match node.fleet.first_for(group, now) {
+    let first = |group: &Name| match node.fleet.preferred_daemon(group, now) {
         Some(peer) => Some(peer),
         None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -182,7 +182,7 @@
         }
     };
     let again_ms = wish.aim_ms as f64;
-    let spread = match node.fleet.large() && wish.group.is_none() {
+    let spread = match node.fleet.is_large() && wish.group.is_none() {
         true => Spread::Stale(STALE_MS),
         false => Spread::Equal,
     };
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -38,13 +38,13 @@
 
 /// Daemons that are handed settings at once: with one, a daemon that freezes in the
 /// middle would keep all others waiting; each more makes all of them slower.
-const GIVEN_AT_ONCE: usize = 2;
+const MAX_TRANSFERS: usize = 2;
 
 /// Daemons named to those that cannot be handed settings now.
 const NAMED: usize = 8;
 
 /// Bytes in one piece.
-const PIECE: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Longest a transfer may be silent, before it begins and within it.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
@@ -53,33 +53,36 @@
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause before the next daemon is asked after one had no time or failed, in ms.
-const PAUSE_MS: std::ops::Range<u64> = 80..240;
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 80..240;
 
 /// Pause while no daemon is known that has them.
-const NOBODY_PAUSE: Duration = Duration::from_millis(500);
+const NO_SOURCE_PAUSE: Duration = Duration::from_millis(500);
 
 /// The pieces of one transfer.
-pub(super) type Pieces = Pin<Box<dyn Stream<Item = Result<SettingsPart, Status>> + Send>>;
+pub(super) type ChunkStream = Pin<Box<dyn Stream<Item = Result<SettingsPart, Status>> + Send>>;
 
 /// What this daemon hands to others.
-pub(super) struct Giving {
+pub(super) struct SettingsSender {
     permits: Arc<Semaphore>,
     /// Peer addresses of those that were given last.
-    given: Arc<Mutex<VecDeque<String>>>,
+    recipients: Arc<Mutex<VecDeque<String>>>,
 }
 
-impl Default for Giving {
+impl Default for SettingsSender {
     fn default() -> Self {
         Self {
-            permits: Arc::new(Semaphore::new(GIVEN_AT_ONCE)),
-            given: Arc::default(),
+            permits: Arc::new(Semaphore::new(MAX_TRANSFERS)),
+            recipients: Arc::default(),
         }
     }
 }
 
-impl Giving {
-    fn others(&self) -> Vec<String> {
-        let given = self.given.lock().expect("no holder of this lock panics");
+impl SettingsSender {
+    fn recent_recipients(&self) -> Vec<String> {
+        let given = self
+            .recipients
+            .lock()
+            .expect("no holder of this lock panics");
         given.iter().cloned().collect()
     }
 }
@@ -100,7 +103,7 @@
             given.truncate(NAMED);
             return None;
         }
-        let piece = self.rest.split_to(PIECE.min(self.rest.len()));
+        let piece = self.rest.split_to(CHUNK_BYTES.min(self.rest.len()));
         let part = SettingsPart {
             piece: piece.to_vec(),
             others: Vec::new(),
@@ -110,16 +113,16 @@
 }
 
 /// Hands the settings over that `ask` lacks, or names others that may have them.
-pub(super) fn give(node: &Node, ask: &SettingsAsk) -> Result<Pieces, Status> {
+pub(super) fn send_settings(node: &Node, ask: &SettingsAsk) -> Result<ChunkStream, Status> {
     let newest = node.view().book.settings_sync.newest();
     if newest <= ask.since {
         return Err(Status::not_found("nothing newer is known here"));
     }
-    let giving = &node.fleet.giving;
+    let giving = &node.fleet.settings_sender;
     let Ok(permit) = giving.permits.clone().try_acquire_owned() else {
         let part = SettingsPart {
             piece: Vec::new(),
-            others: giving.others(),
+            others: giving.recent_recipients(),
         };
         return Ok(futures::stream::iter([Ok(part)]).boxed());
     };
@@ -132,7 +135,7 @@
         _permit: permit,
         rest: rows.encode_to_vec().into(),
         peer: ask.peer.clone(),
-        given: giving.given.clone(),
+        given: giving.recipients.clone(),
     };
     Ok(futures::stream::unfold(transfer, |t| async { t.next() }).boxed())
 }
@@ -151,18 +154,18 @@
     Silent,
     /// They cannot be read, or begin after what is known here.
     #[error("the settings cannot be used ({0}); asking another one")]
-    Odd(&'static str),
+    Unusable(&'static str),
 }
 
 /// Starts the duty.
 pub(super) fn spawn(node: &Arc<Node>) {
-    tokio::spawn(keep(node.clone()));
+    tokio::spawn(run(node.clone()));
 }
 
-async fn keep(node: Arc<Node>) {
+async fn run(node: Arc<Node>) {
     loop {
-        node.fleet.fetch.notified().await;
-        while let Some(pause) = catch_up(&node).await {
+        node.fleet.fetch_wanted.notified().await;
+        while let Some(pause) = fetch_missing(&node).await {
             tokio::time::sleep(pause).await;
         }
     }
@@ -170,7 +173,7 @@
 
 /// Does what is to be done about a newer version; how long to wait before looking
 /// again, if one is still lacked.
-async fn catch_up(node: &Arc<Node>) -> Option<Duration> {
+async fn fetch_missing(node: &Arc<Node>) -> Option<Duration> {
     // The other parts are left for finding one that has it, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
     let step = node.view().book.settings_sync.step(node.now(), patience);
@@ -179,8 +182,8 @@
         Step::Wait(ms) => return Some(Duration::from_millis(ms)),
         Step::Ask => {}
     }
-    let Some(giver) = node.fleet.giver(node) else {
-        return Some(NOBODY_PAUSE);
+    let Some(giver) = node.fleet.settings_source(node) else {
+        return Some(NO_SOURCE_PAUSE);
     };
     let named = match fetch(node, &giver).await {
         Ok(()) => return None,
@@ -198,7 +201,7 @@
     {
         return None;
     }
-    let pause = rand::rng().random_range(PAUSE_MS);
+    let pause = rand::rng().random_range(RETRY_PAUSE_MS);
     Some(Duration::from_millis(pause))
 }
 
@@ -211,9 +214,9 @@
         Ok(rows) => rows?,
         Err(_) => return Err(FetchError::Failed("it takes too long".to_string())),
     };
-    let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Odd("not rows"))?;
+    let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Unusable("not rows"))?;
     if !node.view().book.settings_sync.fits(rows.since) {
-        return Err(FetchError::Odd("a gap before them"));
+        return Err(FetchError::Unusable("a gap before them"));
     }
     let newest = rows.newest;
     let rows: Vec<Fact> = rows.rows.into_iter().map(news::from_wire).collect();
@@ -255,14 +258,17 @@
 
 impl Fleet {
     /// A daemon that has newer settings, drawn among those that have the newest.
-    fn giver(&self, node: &Node) -> Option<Name> {
+    fn settings_source(&self, node: &Node) -> Option<Name> {
         let known = node.view().book.settings_sync.covers();
         let now = node.now();
         let state = self.state();
-        let newest = state.heard(now).map(|(_, p)| p.settings).max()?;
+        let newest = state
+            .heard_recently(now)
+            .map(|(_, p)| p.settings_version)
+            .max()?;
         let givers = state
-            .heard(now)
-            .filter(|(_, p)| p.settings == newest && newest > known);
+            .heard_recently(now)
+            .filter(|(_, p)| p.settings_version == newest && newest > known);
         givers.map(|(a, _)| a.clone()).choose(&mut rand::rng())
     }
 
@@ -275,7 +281,7 @@
     /// The id of the daemon at `addr`, or the address if it is not known.
     fn id_of(&self, addr: &str) -> Name {
         let state = self.state();
-        let about = state.peers.get(addr).and_then(|p| p.about.as_ref());
+        let about = state.peers.get(addr).and_then(|p| p.daemon.as_ref());
         about.map_or(addr, |a| a.id.as_str()).into()
     }
 }
--- a/crates/comfreyhall-node/src/fleet/fetch/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch/tests.rs
@@ -1,7 +1,7 @@
 use comfreyhall_protocol::{SettingsAsk, SettingsPart};
 use futures::StreamExt;
 
-use super::{GIVEN_AT_ONCE, give};
+use super::{MAX_TRANSFERS, send_settings};
 use crate::{
     facts::{self, Provenance},
     node::Node,
@@ -27,7 +27,7 @@
 }
 
 async fn all(node: &Node, port: u16) -> Vec<SettingsPart> {
-    let pieces = give(node, &ask(port)).ok().unwrap();
+    let pieces = send_settings(node, &ask(port)).ok().unwrap();
     pieces.map(|p| p.unwrap()).collect().await
 }
 
@@ -39,8 +39,8 @@
     let given = all(&node, 1).await;
     let bytes: usize = given.iter().map(|p| p.piece.len()).sum();
     assert!((300_000..301_000).contains(&bytes), "{bytes}");
-    let open: Vec<_> = (0..GIVEN_AT_ONCE)
-        .map(|i| give(&node, &ask(2 + i as u16)).ok().unwrap())
+    let open: Vec<_> = (0..MAX_TRANSFERS)
+        .map(|i| send_settings(&node, &ask(2 + i as u16)).ok().unwrap())
         .collect();
     let refused = all(&node, 9).await;
     assert_eq!(refused.len(), 1);
@@ -56,5 +56,5 @@
     let node = node();
     put(&node, 100);
     let has = SettingsAsk { since: 9, ..ask(1) };
-    assert!(give(&node, &has).is_err());
+    assert!(send_settings(&node, &has).is_err());
 }
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -9,11 +9,11 @@
 /// Processor with which a daemon is well placed to hold leases in a large
 /// fleet, in thousandths of a core: reports of 88 daemons and the orders
 /// to thirty engines took 59 to 69 of them.
-pub(super) const MUCH_CPU: u32 = 250;
+pub(super) const MIN_HOLDER_MILLICORES: u32 = 250;
 
 /// Who comes before a daemon for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Ahead {
+pub(crate) struct Precedence {
     /// Whether somebody is better placed.
     pub(crate) better: bool,
     /// How many are as well placed and have an earlier turn.
@@ -22,13 +22,15 @@
 
 /// How long a holder that did not answer is not asked, in ms: a third of the
 /// shortest lease, so that one that is only slow is soon asked again.
-const MUTE_MS: u64 = 1_000;
+const SUSPEND_MS: u64 = 1_000;
 
 impl Fleet {
     /// Who holds the lease of `group`, other than this daemon.
     pub(crate) fn holder(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
-        let answering = state.heard(now).filter(|(_, p)| now >= p.mute_until);
+        let answering = state
+            .heard_recently(now)
+            .filter(|(_, p)| now >= p.suspended_until_ms);
         let held = answering.filter_map(|(addr, peer)| {
             let holding = peer.holdings.iter().find(|(g, _)| &**g == group)?;
             Some((holding.1, addr.clone()))
@@ -42,7 +44,7 @@
     /// counts as lost, some four periods later, each request waits for it.
     pub(crate) fn suspend_holder(&self, addr: &str, now: u64) {
         if let Some(peer) = self.state().peers.get_mut(addr) {
-            peer.mute_until = now + MUTE_MS;
+            peer.suspended_until_ms = now + SUSPEND_MS;
         }
     }
 
@@ -51,9 +53,9 @@
     pub(crate) fn successor(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
-        let ready = state.alive(now).filter_map(|(addr, peer)| {
-            let about = peer.about.as_ref().filter(|a| a.ready)?;
-            let weak = large && about.millicores < MUCH_CPU;
+        let ready = state.alive_peers(now).filter_map(|(addr, peer)| {
+            let about = peer.daemon.as_ref().filter(|a| a.ready)?;
+            let weak = large && about.millicores < MIN_HOLDER_MILLICORES;
             let far = about.domain != group;
             Some((weak, far, peer.holdings.len(), addr.clone()))
         });
@@ -61,8 +63,8 @@
     }
 
     /// Tells peers that `to` goes on with `group` under `token`.
-    pub(crate) fn cede(&self, group: &str, token: u64, to: &str) {
-        self.state().cessions.push(Cession {
+    pub(crate) fn announce_handover(&self, group: &str, token: u64, to: &str) {
+        self.state().handovers.push(Cession {
             group: group.to_string(),
             token,
             to: to.to_string(),
@@ -71,17 +73,17 @@
 
     /// Whether this daemon has too little processor to hold leases in a large
     /// fleet while others can.
-    pub(crate) fn weak(&self) -> bool {
-        hub::is_large(self.state().peers.len()) && self.me.millicores < MUCH_CPU
+    pub(crate) fn is_underpowered(&self) -> bool {
+        hub::is_large(self.state().peers.len()) && self.me.millicores < MIN_HOLDER_MILLICORES
     }
 
     /// Whether the peer at `addr` is in a better place for the lease of
     /// `group` than this daemon: of its domain, and no weaker.
-    pub(crate) fn better(&self, group: &str, addr: &str) -> bool {
+    pub(crate) fn is_better_placed(&self, group: &str, addr: &str) -> bool {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
-        let strong = |d: &Daemon| !large || d.millicores >= MUCH_CPU;
-        let about = state.peers.get(addr).and_then(|p| p.about.as_ref());
+        let strong = |d: &Daemon| !large || d.millicores >= MIN_HOLDER_MILLICORES;
+        let about = state.peers.get(addr).and_then(|p| p.daemon.as_ref());
         let near = about.is_some_and(|d| d.domain == group && strong(d) >= strong(&self.me));
         near && self.me.domain != group
     }
@@ -93,16 +95,23 @@
     /// left 2,221 wishes for a place unanswered in 34 s, three quarters of all
     /// that failed. Then those in the group's domain come first, beside its
     /// engines.
-    pub(crate) fn ahead(&self, group: &str, now: u64) -> Ahead {
+    pub(crate) fn precedence(&self, group: &str, now: u64) -> Precedence {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
-        let class = |d: &Daemon| (large && d.millicores >= MUCH_CPU, d.domain == group);
+        let class = |d: &Daemon| {
+            (
+                large && d.millicores >= MIN_HOLDER_MILLICORES,
+                d.domain == group,
+            )
+        };
         let turn = |d: &Daemon| home_rank(group, &d.peer);
-        let about = state.alive(now).filter_map(|(_, p)| p.about.as_ref());
+        let about = state
+            .alive_peers(now)
+            .filter_map(|(_, p)| p.daemon.as_ref());
         let ready: Vec<&Daemon> = about.filter(|a| a.ready).collect();
         let mine = class(&self.me);
         let equals = ready.iter().filter(|d| class(d) == mine);
-        Ahead {
+        Precedence {
             better: ready.iter().any(|d| class(d) > mine),
             equals: equals.filter(|d| turn(d) < turn(&self.me)).count() as u64,
         }
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -17,21 +17,21 @@
 use rand::seq::IteratorRandom;
 use rustc_hash::FxHasher;
 
-use super::{FANOUT, Fleet, PERIOD_MS, Peer, State};
+use super::{FANOUT, Fleet, GOSSIP_PERIOD_MS, Peer, State};
 use crate::node::Node;
 
 /// Calls a holder answers in a second: at 0.2 ms each (processor time over
 /// calls with 89 daemons, all other work included) 4% of a core, which is below
 /// what a daemon may spend on control.
-const CALLS_PER_S: u64 = 200;
+const REPORTS_PER_S: u64 = 200;
 
 /// Pause between calls to a random peer while holders are known, in ms.
-const OTHER_MS: u64 = 1_000;
+const RANDOM_CALL_MS: u64 = 1_000;
 
 /// Age up to which a summary is handed out again, in ms: a fifth of the age
 /// of the reports it is made from, so that ten are made in a second and not
 /// one for each call.
-const SUMMARY_MS: u64 = 100;
+const SUMMARY_TTL_MS: u64 = 100;
 
 /// Whether a fleet of `peers` reports to holders.
 pub(super) fn is_large(peers: usize) -> bool {
@@ -39,8 +39,8 @@
 }
 
 /// Ms between two reports to the same holder in a fleet of `peers`.
-pub(super) fn pace_ms(peers: usize) -> u64 {
-    (peers as u64 * 1_000 / CALLS_PER_S).max(PERIOD_MS)
+pub(super) fn report_period_ms(peers: usize) -> u64 {
+    (peers as u64 * 1_000 / REPORTS_PER_S).max(GOSSIP_PERIOD_MS)
 }
 
 /// Who is alive, as a holder tells.
@@ -56,7 +56,7 @@
         self.version
     }
 
-    fn of(members: Vec<Daemon>) -> Self {
+    fn from_members(members: Vec<Daemon>) -> Self {
         let mut hash = FxHasher::default();
         for member in &members {
             (&member.peer, member.boot, member.ready).hash(&mut hash);
@@ -77,22 +77,22 @@
 impl State {
     /// Peers to call in a large fleet; `holding`: whether this daemon holds a
     /// lease itself.
-    pub(super) fn due_large(&mut self, holding: bool, now: u64) -> Vec<Name> {
-        let pace = pace_ms(self.peers.len());
+    pub(super) fn due_in_large(&mut self, holding: bool, now: u64) -> Vec<Name> {
+        let pace = report_period_ms(self.peers.len());
         let limit = Fleet::alive_ms(self.peers.len());
-        let rested = |p: &Peer| now.saturating_sub(p.called) + PERIOD_MS / 2 >= pace;
+        let rested = |p: &Peer| now.saturating_sub(p.called_at_ms) + GOSSIP_PERIOD_MS / 2 >= pace;
         let mut out: Vec<Name> = Vec::new();
         let mut known = holding;
         for (addr, peer) in &self.peers {
             let holds = peer.holds() && peer.alive(now, limit);
             known |= holds;
             // Holders call each other too: only answers bear sums.
-            if (holds || peer.hinted) && rested(peer) && !peer.calling {
+            if (holds || peer.holder_hint) && rested(peer) && !peer.calling {
                 out.push(addr.clone());
             }
         }
         let others = match known {
-            true if now.saturating_sub(self.strayed) < OTHER_MS => 0,
+            true if now.saturating_sub(self.random_call_ms) < RANDOM_CALL_MS => 0,
             true => 1,
             false => FANOUT,
         };
@@ -103,7 +103,7 @@
         let idle = idle.map(|(a, _)| a.clone());
         let more = idle.choose_multiple(&mut rand::rng(), others);
         if !more.is_empty() {
-            self.strayed = now;
+            self.random_call_ms = now;
         }
         out.extend(more);
         out
@@ -111,7 +111,7 @@
 
     /// Addresses of the holders heard from lately.
     pub(super) fn holders(&self, now: u64) -> Vec<String> {
-        let holders = self.heard(now).filter(|(_, p)| p.holds());
+        let holders = self.heard_recently(now).filter(|(_, p)| p.holds());
         holders.map(|(a, _)| a.to_string()).collect()
     }
 
@@ -126,10 +126,12 @@
 
     /// Who is alive, `me` included.
     fn roster(&self, me: Daemon, now: u64) -> Roster {
-        let heard = self.heard(now).filter_map(|(_, p)| p.about.clone());
+        let heard = self
+            .heard_recently(now)
+            .filter_map(|(_, p)| p.daemon.clone());
         let mut members: Vec<Daemon> = heard.chain([me]).collect();
         members.sort_by(|a, b| a.peer.cmp(&b.peer));
-        Roster::of(members)
+        Roster::from_members(members)
     }
 }
 
@@ -137,7 +139,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Summary {
     /// When it was made; 0 for never.
-    at: u64,
+    made_at_ms: u64,
     roster: Roster,
     /// Work of all daemons at the targets of the groups held.
     totals: Vec<(Name, TargetTotal)>,
@@ -145,27 +147,29 @@
 
 impl Fleet {
     /// Whether the fleet is so large that it reports to holders.
-    pub(crate) fn large(&self) -> bool {
+    pub(crate) fn is_large(&self) -> bool {
         is_large(self.state().peers.len())
     }
 
     /// Whether a holder of leases, other than this daemon, tells it what is
     /// known in a large fleet.
-    pub(crate) fn served(&self, node: &Node) -> bool {
+    pub(crate) fn reports_to_holders(&self, node: &Node) -> bool {
         let holding = node.leases.holds_any(node.settings().bounds.fencing);
         let state = self.state();
-        is_large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
+        is_large(state.peers.len())
+            && !holding
+            && state.heard_recently(node.now()).any(|(_, p)| p.holds())
     }
 
     /// Adds what a holder tells in a large fleet to the answer for the daemon
     /// `asker`, which has the roster `known`.
     pub(super) fn add_totals(&self, node: &Node, asker: &Daemon, known: u64, news: &mut News) {
-        if !self.large() || news.holdings.is_empty() {
+        if !self.is_large() || news.holdings.is_empty() {
             return;
         }
         let now = node.now();
-        if now.saturating_sub(self.state().summary.at) > SUMMARY_MS {
-            let summary = self.sum_up(node, news, now);
+        if now.saturating_sub(self.state().summary.made_at_ms) > SUMMARY_TTL_MS {
+            let summary = self.summarize(node, news, now);
             self.state().summary = summary;
         }
         // The view is locked before the state elsewhere.
@@ -188,7 +192,7 @@
         news.totals = totals.iter().map(but_own).collect();
     }
 
-    fn sum_up(&self, node: &Node, news: &News, now: u64) -> Summary {
+    fn summarize(&self, node: &Node, news: &News, now: u64) -> Summary {
         let mut me = self.me.clone();
         me.ready = node.ready();
         let (roster, used) = {
@@ -211,7 +215,7 @@
             (work != Work::default() || adapters > 0).then(|| (t.id.clone(), total))
         });
         Summary {
-            at: now,
+            made_at_ms: now,
             roster,
             totals: totals.collect(),
         }
@@ -222,7 +226,7 @@
         for addr in holders {
             self.add_peer(addr, false);
         }
-        self.state().hint(holders, now);
+        self.state().mark_holders(holders, now);
     }
 
     /// Takes in what a holder's answer tells in a large fleet.
@@ -230,7 +234,7 @@
         if news.roster_version == 0 || news.holdings.is_empty() {
             return;
         }
-        let until = now + 2 * pace_ms(self.state().peers.len()) + PERIOD_MS;
+        let until = now + 2 * report_period_ms(self.state().peers.len()) + GOSSIP_PERIOD_MS;
         self.learn_roster(from, news, now);
         let mut view = node.view();
         let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
@@ -258,7 +262,7 @@
             return;
         };
         let used = news.totals.iter();
-        holder.used = used
+        holder.reported_use = used
             .map(|t| (t.target.as_str().into(), t.adapters))
             .collect();
         if news.roster_version != holder.roster.version && !news.roster.is_empty() {
@@ -270,7 +274,7 @@
         let members = std::mem::take(&mut holder.roster.members);
         for member in &members {
             if let Some(peer) = state.peers.get_mut(member.peer.as_str()) {
-                peer.vouch(member, now);
+                peer.confirm_alive(member, now);
             }
         }
         if let Some(holder) = state.peers.get_mut(from.peer.as_str()) {
@@ -281,13 +285,13 @@
 
 impl State {
     /// Has daemons that are said to hold leases called soon.
-    fn hint(&mut self, holders: &[String], now: u64) {
+    fn mark_holders(&mut self, holders: &[String], now: u64) {
         let limit = Fleet::alive_ms(self.peers.len());
         for addr in holders {
             if let Some(peer) = self.peers.get_mut(addr.as_str())
                 && !(peer.holds() && peer.alive(now, limit))
             {
-                peer.hinted = true;
+                peer.holder_hint = true;
             }
         }
     }
@@ -295,13 +299,13 @@
 
 impl Peer {
     /// A holder has heard from it lately.
-    fn vouch(&mut self, member: &Daemon, now: u64) {
-        self.vouched = now;
-        let known = self.about.as_ref();
+    fn confirm_alive(&mut self, member: &Daemon, now: u64) {
+        self.vouched_at_ms = now;
+        let known = self.daemon.as_ref();
         // What it told itself is newer than a roster of the same process.
-        let newer = now.saturating_sub(self.heard) > PERIOD_MS;
+        let newer = now.saturating_sub(self.heard_at_ms) > GOSSIP_PERIOD_MS;
         if known.is_none_or(|k| k.boot != member.boot) || newer {
-            self.about = Some(member.clone());
+            self.daemon = Some(member.clone());
         }
     }
 }
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 pub(crate) use self::{
     progress::{RunChange, RunUpdate},
     runs::Run,
-    swap::{announce, spawn, tell_all, tell_found},
+    swap::{announce_lease, notify_all, notify_findings, spawn},
 };
 pub use swap::serve_peers;
 
@@ -47,7 +47,7 @@
 
 /// Period of the news, in ms: the wait estimate is then at most a quarter of
 /// a second old, about the time of one prompt.
-const PERIOD_MS: u64 = 250;
+const GOSSIP_PERIOD_MS: u64 = 250;
 
 /// Peers told in one period. With more daemons than this, news goes through
 /// the holders of leases, which keeps the cost of a daemon constant.
@@ -58,53 +58,53 @@
 const ALIVE_PERIODS: u64 = 4;
 
 /// Most addresses in one answer, as callers take them.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// How long callers may keep an address answer. Some keep it three times as
 /// long, and a stopping daemon serves that long at least.
 const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
 /// Placements remembered for peers that have not heard of them.
-const PLACED_KEPT: usize = 512;
+const MAX_PLACEMENTS: usize = 512;
 
 struct Peer {
     client: FleetClient<Channel>,
     seed: bool,
-    about: Option<Daemon>,
+    daemon: Option<Daemon>,
     /// When its address was first heard of.
-    met: u64,
-    heard: u64,
+    met_at_ms: u64,
+    heard_at_ms: u64,
     /// When a holder of leases last counted it as alive.
-    vouched: u64,
-    called: u64,
+    vouched_at_ms: u64,
+    called_at_ms: u64,
     calling: bool,
     /// Said to hold a lease, and not asked yet.
-    hinted: bool,
+    holder_hint: bool,
     roster: hub::Roster,
     /// Adapters in use by others at targets of its groups, if it told.
-    used: Map<Name, u32>,
+    reported_use: Map<Name, u32>,
     holdings: Vec<(Name, u64)>,
     /// Its runs at engines, as it told or as they were bound here.
     runs: Runs,
     /// Not asked for engines before this: it did not answer in time.
-    mute_until: u64,
+    suspended_until_ms: u64,
     /// Newest settings row it knows.
-    settings: u64,
+    settings_version: u64,
     /// Version of the targets it knows.
-    targets: u64,
+    targets_version: u64,
     /// Whether it cannot read the settings in the store by itself.
     cut_off: bool,
     /// Daemons that may serve requests, as it told; 0 if it does not know.
     members: usize,
     demands: Map<Name, u32>,
     /// First placement it has not been told.
-    told: u64,
+    untold_from: u64,
     /// Number of the last finding it has heard from this daemon.
-    findings: u64,
+    findings_acked: u64,
     /// Its findings that this daemon has heard.
-    heard_of: Heard,
+    findings_heard: Heard,
     /// Its clock in its last news.
-    clock: u64,
+    clock_ms: u64,
 }
 
 #[derive(Default)]
@@ -115,16 +115,16 @@
     pins: Map<(Name, AdapterRef), u32>,
     /// Runs of this daemon at engines.
     runs: Runs,
-    placed: VecDeque<(u64, Placed)>,
-    next: u64,
+    placements: VecDeque<(u64, Placed)>,
+    next_placement: u64,
     /// Groups this daemon handed on.
-    cessions: Vec<Cession>,
+    handovers: Vec<Cession>,
     /// What daemons that report here are told.
     summary: hub::Summary,
     /// Whether the store has told this process who there is.
-    listed: bool,
+    members_listed: bool,
     /// When a peer was last called by chance, in a large fleet.
-    strayed: u64,
+    random_call_ms: u64,
 }
 
 /// The fleet as this daemon knows it.
@@ -134,12 +134,12 @@
     /// Number of the next run.
     next_run: AtomicU64,
     /// Settings handed to other daemons.
-    giving: fetch::Giving,
+    settings_sender: fetch::SettingsSender,
     /// Wakes the duty that fetches settings.
-    fetch: Notify,
+    fetch_wanted: Notify,
     /// Where events of runs are put to be told to holders.
-    tell: mpsc::Sender<RunUpdate>,
-    events: Mutex<Option<mpsc::Receiver<RunUpdate>>>,
+    updates_tx: mpsc::Sender<RunUpdate>,
+    updates_rx: Mutex<Option<mpsc::Receiver<RunUpdate>>>,
 }
 
 /// How news came.
@@ -180,17 +180,17 @@
             ready: false,
             millicores: (settings.cores * 1_000.0) as u32,
         };
-        let (tell, events) = mpsc::channel(progress::QUEUE);
+        let (tell, events) = mpsc::channel(progress::UPDATE_QUEUE_LEN);
         let fleet = Self {
             me,
             state: Mutex::default(),
             // A daemon that starts again must not go on with numbers that it
             // had before: holders still know some of those runs.
             next_run: AtomicU64::new(rand::rng().random::<u64>() >> 1),
-            giving: fetch::Giving::default(),
-            fetch: Notify::new(),
-            tell,
-            events: Mutex::new(Some(events)),
+            settings_sender: fetch::SettingsSender::default(),
+            fetch_wanted: Notify::new(),
+            updates_tx: tell,
+            updates_rx: Mutex::new(Some(events)),
         };
         for seed in &settings.seeds {
             fleet.add_peer(&seed.to_string(), true);
@@ -200,7 +200,7 @@
 
     /// How long a peer may be silent, in ms, in a fleet of `peers`.
     fn alive_ms(peers: usize) -> u64 {
-        ALIVE_PERIODS * hub::pace_ms(peers)
+        ALIVE_PERIODS * hub::report_period_ms(peers)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -213,31 +213,31 @@
             return;
         }
         let mut state = self.state();
-        let told = state.next;
+        let told = state.next_placement;
         state.peers.entry(addr.into()).or_insert_with(|| Peer {
             client: FleetClient::new(link::channel(addr)),
             seed,
-            about: None,
-            met: clock::now(),
-            heard: 0,
-            vouched: 0,
-            called: 0,
+            daemon: None,
+            met_at_ms: clock::now(),
+            heard_at_ms: 0,
+            vouched_at_ms: 0,
+            called_at_ms: 0,
             calling: false,
-            hinted: false,
+            holder_hint: false,
             roster: hub::Roster::default(),
-            used: Map::default(),
+            reported_use: Map::default(),
             holdings: Vec::new(),
             runs: Runs::default(),
-            mute_until: 0,
-            settings: 0,
-            targets: 0,
+            suspended_until_ms: 0,
+            settings_version: 0,
+            targets_version: 0,
             cut_off: false,
             members: 0,
             demands: Map::default(),
-            told,
-            findings: 0,
-            heard_of: Heard::default(),
-            clock: 0,
+            untold_from: told,
+            findings_acked: 0,
+            findings_heard: Heard::default(),
+            clock_ms: 0,
         });
     }
 
@@ -246,7 +246,7 @@
     pub(crate) fn is_lost(&self, addr: &str, now: u64) -> bool {
         let state = self.state();
         state.peers.get(addr).is_some_and(|p| {
-            let last = p.heard.max(p.vouched).max(p.met);
+            let last = p.heard_at_ms.max(p.vouched_at_ms).max(p.met_at_ms);
             now.saturating_sub(last) >= swap::FORGET_MS / 2
         })
     }
@@ -254,13 +254,15 @@
     /// Whether this daemon's address is the smallest of those alive.
     pub(crate) fn has_lowest_addr(&self, now: u64) -> bool {
         let state = self.state();
-        state.alive(now).all(|(addr, _)| *self.me.peer < **addr)
+        state
+            .alive_peers(now)
+            .all(|(addr, _)| *self.me.peer < **addr)
     }
 
     /// Daemons alive now, this one included.
     pub(crate) fn size(&self, now: u64) -> usize {
         let state = self.state();
-        1 + state.alive(now).count()
+        1 + state.alive_peers(now).count()
     }
 
     /// How many daemons alive come before this one for `key`: each key has an
@@ -269,12 +271,15 @@
         let own = pick::home_rank(key, &self.me.peer);
         let state = self.state();
         let before = |addr: &Name| pick::home_rank(key, addr) < own;
-        state.alive(now).filter(|(addr, _)| before(addr)).count()
+        state
+            .alive_peers(now)
+            .filter(|(addr, _)| before(addr))
+            .count()
     }
 
     /// Has the duty that fetches settings look whether there is something to do.
     pub(crate) fn wake_fetch(&self) {
-        self.fetch.notify_one();
+        self.fetch_wanted.notify_one();
     }
 
     /// Counts a request that waits for `adapter` at `target`.
@@ -306,7 +311,7 @@
 
     /// The engine has read the prompt of a run of this daemon.
     pub(crate) fn mark_prompt_read(&self, id: u64) {
-        self.state().runs.read(id);
+        self.state().runs.mark_prompt_read(id);
     }
 
     /// A run of this daemon has ended.
@@ -316,12 +321,12 @@
 
     /// Counts a run of the daemon at `peer`, which it is about to send.
     pub(crate) fn add_bound_run(&self, node: &Node, peer: &str, id: u64, run: Run) {
-        let until = node.now() + self.alive_for();
+        let until = node.now() + self.liveness_ms();
         let mut state = self.state();
         let Some(known) = state.peers.get_mut(peer) else {
             return;
         };
-        let Some(name) = known.about.as_ref().map(|a| Name::from(a.id.as_str())) else {
+        let Some(name) = known.daemon.as_ref().map(|a| Name::from(a.id.as_str())) else {
             return;
         };
         let (target, work) = (run.target.clone(), run.work());
@@ -331,7 +336,7 @@
     }
 
     /// How long a daemon may be silent, in ms.
-    fn alive_for(&self) -> u64 {
+    fn liveness_ms(&self) -> u64 {
         Self::alive_ms(self.state().peers.len())
     }
 
@@ -355,7 +360,9 @@
     /// Adapters in use at targets, as holders of leases tell.
     pub(crate) fn reported_in_use(&self, now: u64) -> Map<Name, u32> {
         let state = self.state();
-        let told = state.heard(now).flat_map(|(_, p)| p.used.iter());
+        let told = state
+            .heard_recently(now)
+            .flat_map(|(_, p)| p.reported_use.iter());
         told.map(|(t, n)| (t.clone(), *n)).collect()
     }
 
@@ -376,17 +383,17 @@
         version: Option<u64>,
     ) {
         let mut state = self.state();
-        let serial = state.next;
-        state.next += 1;
+        let serial = state.next_placement;
+        state.next_placement += 1;
         let placed = Placed {
             target: target.to_string(),
             adapter: adapter_key(adapter).to_string(),
             version: version.unwrap_or(0),
             dropped: version.is_none(),
         };
-        state.placed.push_back((serial, placed));
-        if state.placed.len() > PLACED_KEPT {
-            state.placed.pop_front();
+        state.placements.push_back((serial, placed));
+        if state.placements.len() > MAX_PLACEMENTS {
+            state.placements.pop_front();
         }
     }
 
@@ -398,7 +405,7 @@
     /// The process that answers at `peer`, as it told.
     pub(crate) fn boot_of(&self, peer: &str) -> Option<u64> {
         let state = self.state();
-        Some(state.peers.get(peer)?.about.as_ref()?.boot)
+        Some(state.peers.get(peer)?.daemon.as_ref()?.boot)
     }
 
     /// Where this daemon answers its peers.
@@ -417,13 +424,15 @@
             out.push(self.me.front.as_str().into());
         }
         let state = self.state();
-        let about = state.alive(now).filter_map(|(_, p)| p.about.as_ref());
+        let about = state
+            .alive_peers(now)
+            .filter_map(|(_, p)| p.daemon.as_ref());
         let about = about.filter(|a| a.ready);
         out.extend(about.map(|a| Name::from(a.front.as_str())));
-        if out.len() > MOST_ADDRESSES {
+        if out.len() > MAX_ADDRESSES {
             out = out
                 .into_iter()
-                .choose_multiple(&mut rand::rng(), MOST_ADDRESSES);
+                .choose_multiple(&mut rand::rng(), MAX_ADDRESSES);
         }
         let bound = Duration::from_secs_f64(node.settings().bounds.address_s);
         (out, ADDRESS_TTL.min(bound))
@@ -432,9 +441,11 @@
 
 impl State {
     /// Peers heard from lately, here or by a holder of leases.
-    fn alive(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
+    fn alive_peers(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
         let limit = Fleet::alive_ms(self.peers.len());
-        self.peers.iter().filter(move |(_, p)| p.seen(now, limit))
+        self.peers
+            .iter()
+            .filter(move |(_, p)| p.is_seen(now, limit))
     }
 
     /// Each adapter in use at a target by any daemon, once.
@@ -444,13 +455,13 @@
 
     /// Adapters in use at targets, some of them more than once.
     fn uses(&self, now: u64) -> impl Iterator<Item = (&Name, &AdapterRef)> {
-        let theirs = self.heard(now).flat_map(|(_, p)| p.runs.uses());
+        let theirs = self.heard_recently(now).flat_map(|(_, p)| p.runs.uses());
         let waiting = self.pins.keys().map(|(target, adapter)| (target, adapter));
         waiting.chain(self.runs.uses()).chain(theirs)
     }
 
     /// Peers that this daemon heard from lately.
-    fn heard(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
+    fn heard_recently(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
         let limit = Fleet::alive_ms(self.peers.len());
         self.peers.iter().filter(move |(_, p)| p.alive(now, limit))
     }
@@ -458,17 +469,17 @@
 
 impl Peer {
     fn alive(&self, now: u64, limit: u64) -> bool {
-        recent(self.heard, now, limit)
+        is_recent(self.heard_at_ms, now, limit)
     }
 
     /// Whether it was heard from lately, here or by a holder of leases.
-    fn seen(&self, now: u64, limit: u64) -> bool {
-        self.alive(now, limit) || recent(self.vouched, now, limit)
+    fn is_seen(&self, now: u64, limit: u64) -> bool {
+        self.alive(now, limit) || is_recent(self.vouched_at_ms, now, limit)
     }
 }
 
 /// Whether `at` is set and at most `limit` ms ago.
-fn recent(at: u64, now: u64, limit: u64) -> bool {
+fn is_recent(at: u64, now: u64, limit: u64) -> bool {
     at > 0 && now.saturating_sub(at) <= limit
 }
 
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -20,7 +20,7 @@
 };
 
 /// Peers named in one call of a large fleet.
-const NAMED: usize = 3;
+const NAMED_PEERS: usize = 3;
 
 /// Most bytes of settings that news bears: some named versions, or a configuration
 /// of some dozen routes.
@@ -28,19 +28,19 @@
 /// What goes wrong without a bound: holders answer each report of a large fleet
 /// with the whole configuration until it has been taken in, and over small links
 /// no answer comes in time. Larger ones are read in the store or fetched once.
-const CARRIED_BYTES: usize = 8 * 1_024;
+const MAX_SETTINGS_BYTES: usize = 8 * 1_024;
 
 impl Fleet {
     /// What to tell the peer at `addr`.
-    pub(super) fn news_for(&self, node: &Node, addr: &str) -> News {
+    pub(super) fn gossip_for(&self, node: &Node, addr: &str) -> News {
         let now = node.now();
-        let mut news = self.own_news(node, now);
+        let mut news = self.own_gossip(node, now);
         let mut state = self.state();
-        let known = state.alive(now).filter(|(a, _)| &***a != addr);
+        let known = state.alive_peers(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
         news.peers = if hub::is_large(state.peers.len()) {
             // Rosters name the rest.
-            known.choose_multiple(&mut rand::rng(), NAMED)
+            known.choose_multiple(&mut rand::rng(), NAMED_PEERS)
         } else {
             known.collect()
         };
@@ -49,17 +49,17 @@
         }
         news.runs = state.runs_for(addr, now);
         if let Some(peer) = state.peers.get(addr) {
-            (news.evidence, news.told_serial) = wire::since(node, peer.findings);
-            news.heard_boot = peer.heard_of.boot;
-            news.heard_serial = peer.heard_of.serial;
-            news.echoed_at = peer.clock;
+            (news.evidence, news.told_serial) = wire::since(node, peer.findings_acked);
+            news.heard_boot = peer.findings_heard.boot;
+            news.heard_serial = peer.findings_heard.serial;
+            news.echoed_at = peer.clock_ms;
         }
         let State {
             peers,
             runs,
-            placed,
-            next,
-            cessions,
+            placements: placed,
+            next_placement: next,
+            handovers: cessions,
             ..
         } = &mut *state;
         news.cessions = cessions.clone();
@@ -73,9 +73,11 @@
         }
         news.work.retain(|w| w.waiting > 0 || w.running > 0);
         if let Some(peer) = peers.get_mut(addr) {
-            let untold = placed.iter().filter(|(serial, _)| *serial >= peer.told);
+            let untold = placed
+                .iter()
+                .filter(|(serial, _)| *serial >= peer.untold_from);
             news.placed = untold.map(|(_, p)| p.clone()).collect();
-            peer.told = *next;
+            peer.untold_from = *next;
             let demands = std::mem::take(&mut peer.demands);
             news.demands = demands
                 .into_iter()
@@ -88,7 +90,7 @@
         news
     }
 
-    pub(super) fn own_news(&self, node: &Node, now: u64) -> News {
+    pub(super) fn own_gossip(&self, node: &Node, now: u64) -> News {
         let words = outbound::words_of_holder(node);
         let mut view = node.view();
         let work = view.board.own().map(|(target, w)| TargetWork {
@@ -131,7 +133,7 @@
             targets_age,
             settings_age,
             cut_off: node.cut_off() || behind_ms > lag_ms,
-            members: self.known_members(),
+            members: self.certain_members(),
             words,
             sent_at: now,
             ..News::default()
@@ -141,7 +143,7 @@
     /// Adds to a call which roster of the peer at `addr` is known here. An
     /// answer bears the sender's own: with this one in it, an answer of a
     /// holder that still takes its fleet for small would renew an old roster.
-    pub(super) fn tell_roster(&self, addr: &str, news: &mut News) {
+    pub(super) fn add_known_roster(&self, addr: &str, news: &mut News) {
         let state = self.state();
         news.roster_version = state.peers.get(addr).map_or(0, |p| p.roster.version());
     }
@@ -160,8 +162,13 @@
             if hub::is_large(state.peers.len()) && !peer.holds() {
                 return;
             }
-            let new = peer.about.is_none();
-            (new, peer.cut_off, peer.settings, peer.targets)
+            let new = peer.daemon.is_none();
+            (
+                new,
+                peer.cut_off,
+                peer.settings_version,
+                peer.targets_version,
+            )
         };
         // A new peer may have just started. What goes wrong if one that is cut
         // off is sent what it has already: in an outage of the store all are,
@@ -174,7 +181,7 @@
     }
 
     /// Takes in a peer's news.
-    pub(super) fn learn(&self, node: &Arc<Node>, news: News, how: super::Origin) {
+    pub(super) fn apply_gossip(&self, node: &Arc<Node>, news: News, how: super::Origin) {
         let Some(from) = news.from.clone() else {
             return;
         };
@@ -185,7 +192,7 @@
         }
         wire::hear(node, &news.evidence);
         outbound::learn(node, &news.words, &from.id);
-        let mut works = self.learn_peer(node, &from, &news, now);
+        let mut works = self.update_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
         if how == super::Origin::Answer {
             self.learn_totals(node, &from, &news, now);
@@ -196,7 +203,7 @@
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
-        let alive_for = self.alive_for();
+        let alive_for = self.liveness_ms();
         let mut view = node.view();
         for work in &news.work {
             let told = Work {
@@ -251,7 +258,7 @@
         let in_force = &mut view.book.settings_sync;
         let before = in_force.heard().map(|h| h.version);
         in_force.peer_said(&peer, settings_version, settings_as_of, now);
-        tell_heard(in_force, before, now);
+        log_newer_settings(in_force, before, now);
         let lacking = in_force.heard().is_some();
         drop(view);
         if lacking {
@@ -273,7 +280,7 @@
     }
 
     /// Takes in what a peer tells of itself; returns its work at engines.
-    fn learn_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
+    fn update_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
         for holding in &news.holdings {
             node.leases.observe_token(&holding.group, holding.token);
         }
@@ -282,45 +289,45 @@
         let Some(peer) = state.peers.get_mut(from.peer.as_str()) else {
             return Map::default();
         };
-        if !peer.seen(now, limit) {
+        if !peer.is_seen(now, limit) {
             log::info!(target: "fleet", peer:% = from.id, addr:% = from.peer; "peer heard");
         }
-        peer.heard = now;
-        peer.hinted = false;
-        peer.settings = news.settings_version;
-        peer.targets = news.targets_version;
+        peer.heard_at_ms = now;
+        peer.holder_hint = false;
+        peer.settings_version = news.settings_version;
+        peer.targets_version = news.targets_version;
         peer.cut_off = news.cut_off;
         peer.members = news.members as usize;
         if news.holdings.is_empty() {
             // It sums up for nobody any more.
-            peer.used.clear();
+            peer.reported_use.clear();
         }
         let holdings = news.holdings.iter();
         peer.holdings = holdings
             .map(|h| (h.group.as_str().into(), h.token))
             .collect();
-        if peer.about.as_ref().is_none_or(|a| a.boot != from.boot) {
+        if peer.daemon.as_ref().is_none_or(|a| a.boot != from.boot) {
             // What an earlier process ran is gone.
             peer.runs = Runs::default();
         }
-        peer.about = Some(from.clone());
-        peer.findings = match news.heard_boot == self.me.boot {
+        peer.daemon = Some(from.clone());
+        peer.findings_acked = match news.heard_boot == self.me.boot {
             true => news.heard_serial,
             false => 0,
         };
-        peer.heard_of = Heard {
+        peer.findings_heard = Heard {
             boot: from.boot,
             serial: news.told_serial,
         };
-        peer.clock = news.sent_at;
-        peer.runs.replace(&news.runs, now);
-        peer.runs.works()
+        peer.clock_ms = news.sent_at;
+        peer.runs.reconcile(&news.runs, now);
+        peer.runs.work_by_target()
     }
 }
 
 /// Notes a newer version of the settings that was just heard of, and why it may
 /// take time to come.
-fn tell_heard(in_force: &InForce, before: Option<u64>, now: u64) {
+fn log_newer_settings(in_force: &InForce, before: Option<u64>, now: u64) {
     let Some(heard) = in_force.heard().filter(|h| Some(h.version) != before) else {
         return;
     };
@@ -340,7 +347,8 @@
         let holds = |p: &Peer, group: &Name| p.holdings.iter().any(|(g, _)| g == group);
         let peer = self.peers.get(addr);
         let told = |group: &Name| {
-            peer.is_some_and(|p| holds(p, group)) || !self.heard(now).any(|(_, p)| holds(p, group))
+            peer.is_some_and(|p| holds(p, group))
+                || !self.heard_recently(now).any(|(_, p)| holds(p, group))
         };
         let concerned = all.filter(|(_, run)| told(&run.group));
         concerned.map(|(id, run)| run.to_wire(id)).collect()
@@ -382,13 +390,13 @@
 
 /// What the sender of news lacks.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Lack {
+pub(super) struct ReportedVersions {
     settings_version: u64,
     targets_version: u64,
     targets_age: u64,
 }
 
-impl From<&News> for Lack {
+impl From<&News> for ReportedVersions {
     fn from(news: &News) -> Self {
         Self {
             settings_version: news.settings_version,
@@ -404,14 +412,14 @@
 fn add_settings(node: &Node, version: u64, news: &mut News) {
     let rows = rows_since(node, Topic::Settings, version);
     let bytes: usize = rows.iter().map(|r| r.value.len()).sum();
-    if bytes <= CARRIED_BYTES {
+    if bytes <= MAX_SETTINGS_BYTES {
         news.settings = rows;
         news.settings_since = version;
     }
 }
 
 /// Adds the rows that a peer lacks to the news for it.
-pub(super) fn add_rows(node: &Node, asked: Lack, news: &mut News) {
+pub(super) fn add_rows(node: &Node, asked: ReportedVersions, news: &mut News) {
     add_settings(node, asked.settings_version, news);
     if news.targets_age < asked.targets_age {
         news.targets = rows_since(node, Topic::Targets, asked.targets_version);
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -17,11 +17,11 @@
 use crate::node::Node;
 
 /// Events that wait to be told. What does not fit is told by the next news.
-pub(super) const QUEUE: usize = 512;
+pub(super) const UPDATE_QUEUE_LEN: usize = 512;
 
 /// Pause that gathers events into one call, in ms: short against the 100
 /// ms or so between two places that fall free in one group.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Longest one call may take: after that the next news has told it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
@@ -50,22 +50,22 @@
 
 /// Starts the duty.
 pub(super) fn spawn(node: &Arc<Node>) {
-    let Some(mut events) = node.fleet.take_events() else {
+    let Some(mut events) = node.fleet.take_updates() else {
         return;
     };
     let node = node.clone();
     tokio::spawn(async move {
         while let Some(first) = events.recv().await {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             let more = std::iter::from_fn(|| events.try_recv().ok());
             let all: Vec<RunUpdate> = std::iter::once(first).chain(more).collect();
-            send_update(&node, all);
+            report_updates(&node, all);
         }
     });
 }
 
 /// Tells each holder what concerns its engines.
-fn send_update(node: &Arc<Node>, all: Vec<RunUpdate>) {
+fn report_updates(node: &Arc<Node>, all: Vec<RunUpdate>) {
     let now = node.now();
     let mut calls: Map<Name, Vec<RunEvent>> = Map::default();
     for event in all {
@@ -79,7 +79,7 @@
         merge(calls.entry(holder).or_default(), &event);
     }
     for (holder, events) in calls {
-        tokio::spawn(call(node.clone(), holder, events));
+        tokio::spawn(send_report(node.clone(), holder, events));
     }
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-async fn call(node: Arc<Node>, holder: Name, events: Vec<RunEvent>) {
+async fn send_report(node: Arc<Node>, holder: Name, events: Vec<RunEvent>) {
     let Some(mut client) = node.fleet.client(&holder) else {
         return;
     };
@@ -122,20 +122,23 @@
 
 impl Fleet {
     /// The events to be told; once only.
-    fn take_events(&self) -> Option<mpsc::Receiver<RunUpdate>> {
-        let mut events = self.events.lock().expect("no holder of this lock panics");
+    fn take_updates(&self) -> Option<mpsc::Receiver<RunUpdate>> {
+        let mut events = self
+            .updates_rx
+            .lock()
+            .expect("no holder of this lock panics");
         events.take()
     }
 
     /// Has an event of an own run told.
-    pub(crate) fn tell(&self, event: RunUpdate) {
-        if let Err(e) = self.tell.try_send(event) {
+    pub(crate) fn send_update(&self, event: RunUpdate) {
+        if let Err(e) = self.updates_tx.try_send(event) {
             log::debug!(target: "fleet", error:% = e; "progress left to the next news");
         }
     }
 
     /// Takes in how a daemon's runs went on.
-    pub(super) fn progressed(&self, node: &Node, report: &ProgressReport) {
+    pub(super) fn apply_progress(&self, node: &Node, report: &ProgressReport) {
         let now = node.now();
         for event in &report.events {
             let target: Name = event.target.as_str().into();
@@ -144,10 +147,13 @@
                 let Some(peer) = state.peers.get_mut(report.from.as_str()) else {
                     return;
                 };
-                let Some(id) = peer.about.as_ref().map(|a| Name::from(a.id.as_str())) else {
+                let Some(id) = peer.daemon.as_ref().map(|a| Name::from(a.id.as_str())) else {
                     return;
                 };
-                let read = event.first.then(|| peer.runs.read(event.run)).flatten();
+                let read = event
+                    .first
+                    .then(|| peer.runs.mark_prompt_read(event.run))
+                    .flatten();
                 let ended = event.ended.then(|| peer.runs.end(event.run)).flatten();
                 (id, read, ended)
             };
--- a/crates/comfreyhall-node/src/fleet/runs.rs
+++ b/crates/comfreyhall-node/src/fleet/runs.rs
@@ -15,7 +15,7 @@
 /// name it, in ms: its last news may have been made before it had the answer,
 /// which is some ms, and a daemon with little processor may take a tenth of a
 /// second to send it.
-const UNTOLD_MS: u64 = 500;
+const UNREPORTED_MS: u64 = 500;
 
 /// One run at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     }
 
     /// Its prompt was read: the run as it was before.
-    pub(super) fn read(&mut self, id: u64) -> Option<Run> {
+    pub(super) fn mark_prompt_read(&mut self, id: u64) -> Option<Run> {
         let run = self.0.get_mut(&id)?;
         let before = run.clone();
         run.unread_tokens = 0;
@@ -87,18 +87,18 @@
     }
 
     /// Takes in what the daemon says it runs at `now`.
-    pub(super) fn replace(&mut self, told: &[EngineRun], now: u64) {
+    pub(super) fn reconcile(&mut self, told: &[EngineRun], now: u64) {
         let mut known = std::mem::take(&mut self.0);
         for run in told {
             let before = known.remove(&run.id);
             self.0.insert(run.id, from_wire(run, before.as_ref()));
         }
-        known.retain(|_, r| r.bound_at_ms > 0 && now.saturating_sub(r.bound_at_ms) < UNTOLD_MS);
+        known.retain(|_, r| r.bound_at_ms > 0 && now.saturating_sub(r.bound_at_ms) < UNREPORTED_MS);
         self.0.extend(known);
     }
 
     /// What they are on each engine's table.
-    pub(super) fn works(&self) -> Map<Name, Work> {
+    pub(super) fn work_by_target(&self) -> Map<Name, Work> {
         let mut out: Map<Name, Work> = Map::default();
         for run in self.0.values() {
             let work = out.entry(run.target.clone()).or_default();
--- a/crates/comfreyhall-node/src/fleet/runs/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/runs/tests.rs
@@ -1,7 +1,7 @@
 use comfreyhall_domain::{AdapterRef, Name};
 use comfreyhall_protocol::EngineRun;
 
-use super::{Run, Runs, UNTOLD_MS};
+use super::{Run, Runs, UNREPORTED_MS};
 
 fn adapter() -> AdapterRef {
     AdapterRef {
@@ -37,21 +37,21 @@
 fn replace_keeps_what_was_just_bound() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    runs.replace(&[told(2, "t", 50)], 1_010);
-    let works = runs.works();
+    runs.reconcile(&[told(2, "t", 50)], 1_010);
+    let works = runs.work_by_target();
     let work = works.get("t").unwrap();
     assert_eq!((work.prefill, work.running), (150, 2));
     // News that names neither, and long after: both are gone.
-    runs.replace(&[], 1_000 + UNTOLD_MS);
-    assert!(runs.works().is_empty());
+    runs.reconcile(&[], 1_000 + UNREPORTED_MS);
+    assert!(runs.work_by_target().is_empty());
 }
 
 #[test]
 fn replace_goes_on_with_known_run() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    runs.replace(&[told(1, "t", 0)], 5_000);
-    let read = runs.read(1).unwrap();
+    runs.reconcile(&[told(1, "t", 0)], 5_000);
+    let read = runs.mark_prompt_read(1).unwrap();
     assert_eq!((read.unread_tokens, read.queued_tokens), (0, 300));
     assert_eq!(
         runs.uses().collect::<Vec<_>>(),
@@ -66,8 +66,8 @@
 fn read_leaves_no_prompt() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    assert_eq!(runs.read(1).map(|r| r.unread_tokens), Some(100));
-    let works = runs.works();
+    assert_eq!(runs.mark_prompt_read(1).map(|r| r.unread_tokens), Some(100));
+    let works = runs.work_by_target();
     let work = works.get("t").unwrap();
     assert_eq!((work.prefill, work.running), (0, 1));
 }
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 
 use comfreyhall_protocol::{Daemon, EngineRun, Holding, News};
 
-use super::news::{Lack, add_rows};
+use super::news::{ReportedVersions, add_rows};
 use crate::{
     facts::{self, Provenance},
     node::Node,
@@ -51,7 +51,7 @@
     let named = |node: &Node| node.addresses().0.iter().any(|a| **a == *off.front);
     let roster = vec![daemon(100), off.clone()];
     node.fleet
-        .learn(&node, news(5, roster), super::Origin::Answer);
+        .apply_gossip(&node, news(5, roster), super::Origin::Answer);
     assert!(named(&node));
     let limit = super::Fleet::alive_ms(21);
     let mut waited = 0;
@@ -59,7 +59,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         waited += 100;
         node.fleet
-            .learn(&node, news(7, Vec::new()), super::Origin::Call);
+            .apply_gossip(&node, news(7, Vec::new()), super::Origin::Call);
     }
     assert!(!named(&node));
 }
@@ -78,10 +78,10 @@
     }
     let roster = vec![daemon(100)];
     node.fleet
-        .learn(&node, news(5, roster), super::Origin::Answer);
-    let mut told = node.fleet.news_for(&node, &peer);
+        .apply_gossip(&node, news(5, roster), super::Origin::Answer);
+    let mut told = node.fleet.gossip_for(&node, &peer);
     assert_eq!(told.roster_version, 0);
-    node.fleet.tell_roster(&peer, &mut told);
+    node.fleet.add_known_roster(&peer, &mut told);
     assert_ne!(told.roster_version, 0);
 }
 
@@ -108,7 +108,7 @@
             ..News::default()
         };
         let mut answer = News::default();
-        add_rows(&node, Lack::from(&ask), &mut answer);
+        add_rows(&node, ReportedVersions::from(&ask), &mut answer);
         answer.settings.len()
     };
     put(row("version/m.a1", 60, 1));
@@ -138,8 +138,8 @@
         from: Some(peer),
         ..newer
     };
-    node.fleet.learn(&node, heard, super::Origin::Call);
-    let cut_off = |at| node.fleet.own_news(&node, at).cut_off;
+    node.fleet.apply_gossip(&node, heard, super::Origin::Call);
+    let cut_off = |at| node.fleet.own_gossip(&node, at).cut_off;
     assert!(!cut_off(now));
     let lag = node.settings().bounds.apply_ms / 3;
     assert!(cut_off(now + lag + 1));
@@ -173,7 +173,7 @@
             settings_version,
             ..news(0, Vec::new())
         };
-        node.fleet.learn(&node, cut_off, super::Origin::Call);
+        node.fleet.apply_gossip(&node, cut_off, super::Origin::Call);
         let mut call = News::default();
         node.fleet.push_rows(&node, &daemon(100).peer, &mut call);
         call.settings.len()
@@ -196,14 +196,14 @@
             }),
             ..News::default()
         };
-        node.fleet.learn(&node, heard, super::Origin::Call);
+        node.fleet.apply_gossip(&node, heard, super::Origin::Call);
     }
     let now = node.now();
-    let own = node.fleet.ahead("d", now);
+    let own = node.fleet.precedence("d", now);
     assert!(!own.better);
     assert!(own.equals <= 10);
     // In another group's eyes the turn is another.
-    let turns = ["d", "e", "f", "g"].map(|g| node.fleet.ahead(g, now).equals);
+    let turns = ["d", "e", "f", "g"].map(|g| node.fleet.precedence(g, now).equals);
     assert!(turns.iter().any(|t| *t != turns[0]), "{turns:?}");
 }
 
@@ -226,8 +226,8 @@
         runs: vec![run],
         ..news(0, Vec::new())
     };
-    node.fleet.learn(&node, told, super::Origin::Call);
-    let late = node.now() + super::hub::pace_ms(194) + super::PERIOD_MS;
+    node.fleet.apply_gossip(&node, told, super::Origin::Call);
+    let late = node.now() + super::hub::report_period_ms(194) + super::GOSSIP_PERIOD_MS;
     assert_eq!(node.view().board.work(&"t".into(), late).prefill, 500);
 }
 
@@ -246,7 +246,7 @@
             }),
             ..News::default()
         };
-        node.fleet.learn(&node, heard, super::Origin::Call);
+        node.fleet.apply_gossip(&node, heard, super::Origin::Call);
     };
     hear(200, "e", 100);
     hear(201, "f", 100);
@@ -255,16 +255,19 @@
         node.fleet.successor("e", now).as_deref(),
         Some("127.0.0.1:200")
     );
-    assert!(node.fleet.better("e", "127.0.0.1:200"));
-    assert!(!node.fleet.better("e", "127.0.0.1:201"));
+    assert!(node.fleet.is_better_placed("e", "127.0.0.1:200"));
+    assert!(!node.fleet.is_better_placed("e", "127.0.0.1:201"));
     // Its own domain's lease it leaves to nobody.
     hear(202, "d", 900);
-    assert!(!node.fleet.better("d", "127.0.0.1:202"));
+    assert!(!node.fleet.is_better_placed("d", "127.0.0.1:202"));
     // In a large fleet a daemon with little processor is no better place.
     for port in 300..320 {
         node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
-    assert!(node.fleet.better("e", "127.0.0.1:200"), "both are weak");
+    assert!(
+        node.fleet.is_better_placed("e", "127.0.0.1:200"),
+        "both are weak"
+    );
 }
 
 /// Guards against an old version that counts as confirmed by news that lay unread.
@@ -282,11 +285,11 @@
     // The last one says that the store told it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
         let odd = told(echoed_at, heard_boot);
-        node.fleet.learn(&node, odd, super::Origin::Call);
+        node.fleet.apply_gossip(&node, odd, super::Origin::Call);
         assert_eq!(age(), u64::MAX);
     }
     let late = told(1_000, boot);
-    node.fleet.learn(&node, late, super::Origin::Call);
+    node.fleet.apply_gossip(&node, late, super::Origin::Call);
     assert_eq!(age(), 4_010);
 }
 
@@ -307,8 +310,9 @@
         ..news(0, Vec::new())
     };
     let newest = || node.view().book.settings_sync.newest();
-    node.fleet.learn(&node, told(9), super::Origin::Call);
+    node.fleet.apply_gossip(&node, told(9), super::Origin::Call);
     assert_eq!(newest(), 0);
-    node.fleet.learn(&node, told(0), super::Origin::Answer);
+    node.fleet
+        .apply_gossip(&node, told(0), super::Origin::Answer);
     assert_eq!(newest(), 12);
 }
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -76,7 +76,7 @@
     }
 
     fn tell(&self, what: RunChange) {
-        self.node.fleet.tell(RunUpdate {
+        self.node.fleet.send_update(RunUpdate {
             run: self.run,
             target: self.target.id.clone(),
             group: self.target.domain.clone(),
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -216,7 +216,7 @@
 
 /// How long a feed call may wait for a change.
 fn feed_wait(node: &Node) -> Duration {
-    if node.fleet.large() && holding(node) {
+    if node.fleet.is_large() && holding(node) {
         return Duration::from_millis(node.settings().bounds.apply_ms / PARTS_PER_APPLY);
     }
     FEED_WAIT
@@ -231,7 +231,7 @@
         }
         let most = 2 * node.settings().bounds.apply_ms / PARTS_PER_APPLY;
         let age = node.view().book.settings_sync.age(node.now());
-        if !node.fleet.large() || holding(node) || age > most {
+        if !node.fleet.is_large() || holding(node) || age > most {
             return;
         }
         tokio::time::sleep(Duration::from_millis(TOLD_LOOK_MS)).await;
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -63,10 +63,10 @@
 fn due_ms(node: &Node, beat: u64) -> u64 {
     let half = (beat / 2).max(1);
     let drawn = rand::rng().random_range(0..half);
-    if node.fleet.served(node) {
+    if node.fleet.reports_to_holders(node) {
         return (SERVED_PARTS * beat as f64) as u64 + drawn;
     }
-    match node.fleet.large() {
+    match node.fleet.is_large() {
         // What a holder reads is old when the others hear of it.
         true => half + drawn,
         false => beat + 2 * drawn,
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -19,29 +19,29 @@
 };
 
 /// Pause between looks: half of the time in which news comes in.
-const PERIOD: Duration = Duration::from_millis(125);
+const SCAN_PERIOD: Duration = Duration::from_millis(125);
 
 /// Starts the duty.
 pub(super) fn spawn(node: &Arc<Node>) {
     let node = node.clone();
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(SCAN_PERIOD).await;
             let wanted = node.policies().early_copies;
             if wanted && node.leases.holds_any(node.settings().bounds.fencing) {
-                order(&node);
+                request_copies(&node);
             }
         }
     });
 }
 
 /// Hands the copies that are due to the keepers of their engines.
-fn order(node: &Node) {
+fn request_copies(node: &Node) {
     let now = node.now();
     let due = {
         let view = node.view();
         let in_use = node.fleet.in_use(now);
-        due(&view, &in_use, now)
+        missing_copies(&view, &in_use, now)
     };
     let shut = Shut::now(node, now);
     for copy in due {
@@ -52,7 +52,7 @@
         let Some(jobs) = node.keepers.jobs().get(id).cloned() else {
             continue;
         };
-        let job = Job::ahead(copy.adapter, 0, now);
+        let job = Job::prefetch(copy.adapter, 0, now);
         if jobs.try_send(job).is_err() {
             log::debug!(target: "keeper", id:% = id; "no copy ordered: the engine's queue is full");
         }
@@ -60,7 +60,7 @@
 }
 
 /// A copy of an adapter that an engine is to have.
-struct Due {
+struct MissingCopy {
     target: Arc<Target>,
     adapter: AdapterRef,
 }
@@ -69,7 +69,7 @@
 ///
 /// Engines whose places are all in use come last: a copy ordered there waits,
 /// and the queues that it is to relieve grow meanwhile.
-fn due(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<Due> {
+fn missing_copies(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<MissingCopy> {
     let cost_ms = view.board.reading_ms(view.prompt_tokens);
     let mut out = Vec::new();
     for (key, rate) in view.rush.rates(now) {
@@ -94,7 +94,7 @@
             .collect();
         homes.sort_by_key(|(rank, _)| *rank);
         let missing = needed.saturating_sub(held) as usize;
-        let copies = homes.into_iter().take(missing).map(|(_, t)| Due {
+        let copies = homes.into_iter().take(missing).map(|(_, t)| MissingCopy {
             target: t.clone(),
             adapter: adapter.clone(),
         });
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -1,7 +1,7 @@
 use comfreyhall_domain::{AdapterRef, Held, Map, Name, Target};
 use comfreyhall_routing::Standing;
 
-use super::due;
+use super::missing_copies;
 use crate::{node::View, quiet::target};
 
 fn engine(id: &str) -> Target {
@@ -43,9 +43,9 @@
         adapter: Some("a1".into()),
     };
     let none = Map::default();
-    let copies = due(&view(20, &adapter), &none, 2_000);
+    let copies = missing_copies(&view(20, &adapter), &none, 2_000);
     assert!((2..=4).contains(&copies.len()), "{}", copies.len());
     assert!(copies.iter().all(|c| c.adapter == adapter));
     assert!(copies.iter().all(|c| &*c.target.id != "a"));
-    assert!(due(&view(2, &adapter), &none, 2_000).is_empty());
+    assert!(missing_copies(&view(2, &adapter), &none, 2_000).is_empty());
 }
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -4,7 +4,9 @@
 use comfreyhall_placement::{Occupant, victim};
 use comfreyhall_routing::Standing;
 
-use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
+use super::{
+    EngineController, HeldAdapter, Job, LOAD_POLL_MS, PendingLoad, Placed, STALLED_LOAD_MS, finish,
+};
 use crate::{
     fleet::adapter_key,
     node::Named,
@@ -12,75 +14,75 @@
 };
 
 /// Adapters on their way to one engine at once, as engines allow.
-const COMING_MOST: usize = 4;
+const MAX_PENDING_LOADS: usize = 4;
 
 /// Part of the expected time before the first look. A look at the expected
 /// time itself never finds a load faster than expected, and the expectation
 /// only ever grew.
-const FIRST_LOOK: f64 = 0.8;
+const FIRST_POLL_FRACTION: f64 = 0.8;
 
 /// Part of the bound for named versions after which an adapter that is still
 /// in use is dropped all the same.
-const RENEW_PART: u64 = 2;
+const VERSION_GRACE_DIVISOR: u64 = 2;
 
 /// Least score at which an outdated adapter is loaded anew right away: about
 /// one request within the last two half-lives.
-const RENEW_SCORE: f64 = 0.25;
+const MIN_RELOAD_SCORE: f64 = 0.25;
 
-impl Keeper {
+impl EngineController {
     /// Looks at loads that should have ended.
-    pub(super) async fn look_at_coming(&mut self) {
+    pub(super) async fn poll_pending(&mut self) {
         let now = self.node.now();
-        let due = self.coming.iter().filter(|(_, c)| c.look <= now);
+        let due = self.pending.iter().filter(|(_, c)| c.poll_at_ms <= now);
         let due: Vec<(AdapterRef, u64)> = due.map(|(a, c)| (a.clone(), c.version)).collect();
         for (adapter, version) in due {
             if !self.synced {
                 return;
             }
             // An order that holds already says so, and costs less than a report.
-            match self.order(Action::Load, &adapter, version).await {
-                OrderReply::Holds => self.loaded(&adapter),
-                OrderReply::Accepted => self.still_coming(&adapter),
+            match self.send_command(Action::Load, &adapter, version).await {
+                OrderReply::Holds => self.finish_load(&adapter),
+                OrderReply::Accepted => self.check_stalled(&adapter),
                 OrderReply::Conflict | OrderReply::Silent(_) | OrderReply::Unsent => {}
                 OrderReply::Fenced | OrderReply::Gone | OrderReply::Invalid => {
-                    if let Some(coming) = self.take_coming(&adapter) {
-                        finish(coming.done, Err("the engine no longer loads it".into()));
+                    if let Some(loading) = self.take_pending(&adapter) {
+                        finish(loading.waiters, Err("the engine no longer loads it".into()));
                     }
                 }
             }
         }
     }
 
-    pub(super) fn still_coming(&mut self, adapter: &AdapterRef) {
+    pub(super) fn check_stalled(&mut self, adapter: &AdapterRef) {
         let now = self.node.now();
-        let Some(coming) = self.coming.get_mut(adapter) else {
+        let Some(loading) = self.pending.get_mut(adapter) else {
             return;
         };
-        coming.look = now + LOOK_MS;
-        if now.saturating_sub(coming.ordered) > STUCK_MS
-            && let Some(coming) = self.take_coming(adapter)
+        loading.poll_at_ms = now + LOAD_POLL_MS;
+        if now.saturating_sub(loading.started_at_ms) > STALLED_LOAD_MS
+            && let Some(loading) = self.take_pending(adapter)
         {
             log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "load is stuck");
-            finish(coming.done, Err("the load is stuck".into()));
+            finish(loading.waiters, Err("the load is stuck".into()));
             self.synced = false;
         }
     }
 
     /// A load has ended.
-    pub(super) fn loaded(&mut self, adapter: &AdapterRef) {
+    pub(super) fn finish_load(&mut self, adapter: &AdapterRef) {
         let now = self.node.now();
-        let Some(coming) = self.coming.get(adapter) else {
+        let Some(loading) = self.pending.get(adapter) else {
             return;
         };
-        let took = now.saturating_sub(coming.ordered);
-        self.node.keepers.learn(coming.recent, took, now);
-        let Some(coming) = self.take_coming(adapter) else {
+        let load_ms = now.saturating_sub(loading.started_at_ms);
+        self.node.keepers.record_load(loading.cached, load_ms, now);
+        let Some(loading) = self.take_pending(adapter) else {
             return;
         };
-        let version = coming.version;
-        let hold = Hold {
+        let version = loading.version;
+        let hold = HeldAdapter {
             version,
-            since: now,
+            since_ms: now,
         };
         self.held.insert(adapter.clone(), hold);
         let standing = Standing::Held(version);
@@ -90,9 +92,9 @@
         self.node
             .fleet
             .record_placement(&self.target.id, adapter, Some(version));
-        self.node.metrics.adapter_load(coming.recent);
-        log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
-        finish(coming.done, Ok(self.placed(version)));
+        self.node.metrics.adapter_load(loading.cached);
+        log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), version, recent = loading.cached, queued = loading.queued_ms, blocked = loading.wait_reason, ms = load_ms; "adapter loaded");
+        finish(loading.waiters, Ok(self.placed(version)));
     }
 
     /// Replaces adapters of which a newer version was named.
@@ -101,13 +103,13 @@
     /// meanwhile: ordered at once for a hot adapter it was ordered again
     /// every 300 ms for seconds, and each time the engine took no other
     /// order. So it waits until nobody uses it, or the bound comes near.
-    pub(super) async fn renew_outdated(&mut self) {
+    pub(super) async fn drop_outdated(&mut self) {
         let now = self.node.now();
-        let newer = self.newer();
+        let newer = self.outdated();
         if newer.is_empty() {
             return;
         }
-        let grace = self.node.settings().bounds.version_ms / RENEW_PART;
+        let grace = self.node.settings().bounds.version_ms / VERSION_GRACE_DIVISOR;
         let in_use = self.node.fleet.in_use_at(&self.target.id, now);
         let outdated = newer.into_iter().filter(|(adapter, named)| {
             let due = now.saturating_sub(named.learned) >= grace;
@@ -125,14 +127,14 @@
                 return;
             }
             log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(&adapter), version, score; "outdated adapter dropped");
-            if score >= RENEW_SCORE {
-                self.queue.push(Job::ahead(adapter, version, now));
+            if score >= MIN_RELOAD_SCORE {
+                self.queue.push(Job::prefetch(adapter, version, now));
             }
         }
     }
 
     /// Adapters here of which a newer version was named.
-    fn newer(&self) -> Vec<(AdapterRef, Named)> {
+    fn outdated(&self) -> Vec<(AdapterRef, Named)> {
         let view = self.node.view();
         let newer = self.held.iter().filter_map(|(adapter, hold)| {
             let named = view.named.get(adapter)?;
@@ -142,8 +144,8 @@
     }
 
     /// Works on a job; gives it back if it has to wait.
-    pub(super) async fn work(&mut self, job: Job) -> Option<Job> {
-        if !job.open() {
+    pub(super) async fn process_job(&mut self, job: Job) -> Option<Job> {
+        if !job.is_open() {
             return None;
         }
         if let Some(hold) = self.held.get(&job.adapter)
@@ -153,28 +155,28 @@
             finish(job.claim(), Ok(placed));
             return None;
         }
-        if let Some(coming) = self.coming.get_mut(&job.adapter) {
-            coming.done.extend(job.claim());
+        if let Some(loading) = self.pending.get_mut(&job.adapter) {
+            loading.waiters.extend(job.claim());
             return None;
         }
-        if let Some(blocked) = self.blocked(&job) {
+        if let Some(blocked) = self.wait_reason(&job) {
             return Some(job.wait_for(blocked, &self.target.id));
         }
         // What holds for one job holds for the next: looking again for each of
         // a hundred that wait took the holder's core on a heavy day.
-        if self.full || !self.make_room().await {
-            self.full = true;
+        if self.slots_full || !self.free_slot().await {
+            self.slots_full = true;
             return Some(job.wait_for("place", &self.target.id));
         }
         // Another engine may have taken it while room was made.
-        if !job.open() {
+        if !job.is_open() {
             return None;
         }
         self.load(job).await
     }
 
     /// Why `job` may not be loaded here yet.
-    fn blocked(&self, job: &Job) -> Option<&'static str> {
+    fn wait_reason(&self, job: &Job) -> Option<&'static str> {
         if !self.synced {
             return Some("report");
         }
@@ -184,12 +186,12 @@
         }
         // Another engine loads it for somebody else, and serves this one too
         // once it looks at its queue; that takes no second load.
-        let among = job.ticket.as_ref().map_or(&[][..], |t| t.among());
+        let engines = job.ticket.as_ref().map_or(&[][..], |t| t.candidates());
         let keepers = &self.node.keepers;
-        if keepers.loads_elsewhere(&job.adapter, &self.target.id, among) {
+        if keepers.is_loading_elsewhere(&job.adapter, &self.target.id, engines) {
             return Some("elsewhere");
         }
-        if self.coming.len() >= COMING_MOST {
+        if self.pending.len() >= MAX_PENDING_LOADS {
             return Some("engine");
         }
         let recent = {
@@ -220,7 +222,7 @@
         let done = job.claim();
         let target = self.target.id.clone();
         self.node.keepers.begin_load(&job.adapter, &target);
-        let reply = self.order(Action::Load, &job.adapter, version).await;
+        let reply = self.send_command(Action::Load, &job.adapter, version).await;
         if reply != OrderReply::Accepted {
             self.node.keepers.end_load(&job.adapter, &target);
         }
@@ -228,21 +230,27 @@
             OrderReply::Accepted => {
                 let now = self.node.now();
                 let expected = self.node.keepers.expected_load_ms(recent);
-                let coming = Coming {
+                let loading = PendingLoad {
                     version,
-                    ordered: now,
-                    look: now + ((expected * FIRST_LOOK) as u64).max(LOOK_MS),
-                    recent,
-                    queued: now.saturating_sub(job.waiting.since),
-                    blocked: job.blocked,
-                    done: done.into_iter().collect(),
+                    started_at_ms: now,
+                    poll_at_ms: now + ((expected * FIRST_POLL_FRACTION) as u64).max(LOAD_POLL_MS),
+                    cached: recent,
+                    queued_ms: now.saturating_sub(job.waiting.since),
+                    wait_reason: job.wait_reason,
+                    waiters: done.into_iter().collect(),
                 };
-                self.add_coming(job.adapter, coming);
+                self.add_pending(job.adapter, loading);
                 None
             }
             OrderReply::Holds => {
                 let since = self.node.now();
-                self.held.insert(job.adapter, Hold { version, since });
+                self.held.insert(
+                    job.adapter,
+                    HeldAdapter {
+                        version,
+                        since_ms: since,
+                    },
+                );
                 let placed = self.placed(version);
                 finish(done, Ok(placed));
                 None
@@ -270,9 +278,9 @@
     }
 
     /// Sees that a place is free; false if all are in use.
-    pub(super) async fn make_room(&mut self) -> bool {
-        let places = self.places();
-        while self.held.len() + self.coming.len() >= places {
+    pub(super) async fn free_slot(&mut self) -> bool {
+        let places = self.slots();
+        while self.held.len() + self.pending.len() >= places {
             let Some(out) = self.choose_victim() else {
                 return false;
             };
@@ -283,7 +291,7 @@
         true
     }
 
-    pub(super) fn places(&self) -> usize {
+    pub(super) fn slots(&self) -> usize {
         self.node.view().places(&self.target) as usize
     }
 
@@ -297,7 +305,7 @@
                 score: view.demand.score(&adapter_key(adapter), now),
                 copies: view.residency.copies(adapter).saturating_sub(1),
                 pins: 0,
-                age_ms: now.saturating_sub(hold.since),
+                age_ms: now.saturating_sub(hold.since_ms),
                 key: adapter.clone(),
             })
             .collect();
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -28,7 +28,7 @@
 use comfreyhall_placement::{Ceiling, Waiting, Window};
 use tokio::sync::mpsc;
 
-use self::ticket::{Done, Ticket};
+use self::ticket::{Ticket, Waiter};
 pub(crate) use self::{
     ticket::{Placed, PlacementError},
     wish::{Candidate, PlacementRequest, place_adapter},
@@ -36,32 +36,32 @@
 use crate::node::Node;
 
 /// Jobs that may wait for one engine.
-const QUEUE: usize = 256;
+const JOB_QUEUE_LEN: usize = 256;
 
 /// Reports are some hundred ms old, so after a surprise this long passes
 /// before one is asked for.
-const SETTLE: Duration = Duration::from_millis(250);
+const REPORT_DELAY: Duration = Duration::from_millis(250);
 
 /// Time of a load before any is measured, in ms: from the weight store, and
 /// of an adapter the engine held lately.
-const FIRST_LOAD_MS: [f64; 2] = [250.0, 25.0];
+const INITIAL_LOAD_MS: [f64; 2] = [250.0, 25.0];
 
 /// Weight of one sample in the learned time of a load.
-const LOAD_GAIN: f64 = 0.1;
+const LOAD_EWMA_WEIGHT: f64 = 0.1;
 
 /// Pause between looks at a load that should have ended, in ms.
-const LOOK_MS: u64 = 15;
+const LOAD_POLL_MS: u64 = 15;
 
 /// Score below which an adapter's demand is forgotten: some 40 s after its
 /// last request. Without it memory would grow with every adapter ever asked
 /// for.
-const FORGOTTEN_SCORE: f64 = 0.01;
+const MIN_DEMAND_SCORE: f64 = 0.01;
 
 /// A load that takes this much longer than its like is given up, in ms.
-const STUCK_MS: u64 = 3_000;
+const STALLED_LOAD_MS: u64 = 3_000;
 
 /// Longest pause of a keeper with nothing to do, in ms.
-const IDLE_MS: u64 = 500;
+const IDLE_POLL_MS: u64 = 500;
 
 /// Someone wants an adapter on this engine, or on one of several.
 struct Job {
@@ -73,51 +73,51 @@
     ticket: Option<Arc<Ticket>>,
     /// Ms more than at the best engine that serving it here would take.
     extra_ms: u64,
-    until: u64,
+    expires_at_ms: u64,
     /// What it last waited for.
-    blocked: &'static str,
+    wait_reason: &'static str,
 }
 
 impl Job {
     /// A load that nobody waits for yet. It comes before those that one
     /// request waits for, since many will ask for its adapter.
-    fn ahead(adapter: AdapterRef, version: u64, now: u64) -> Self {
+    fn prefetch(adapter: AdapterRef, version: u64, now: u64) -> Self {
         Self {
             adapter,
             version,
             waiting: Waiting {
                 priority: 0,
                 since: now,
-                aim: now + STUCK_MS,
+                aim: now + STALLED_LOAD_MS,
             },
             ticket: None,
             extra_ms: 0,
-            until: now + STUCK_MS,
-            blocked: "",
+            expires_at_ms: now + STALLED_LOAD_MS,
+            wait_reason: "",
         }
     }
 
     /// The same, waiting at `target` for what `why` names.
     fn wait_for(mut self, why: &'static str, target: &Name) -> Self {
-        self.blocked = why;
+        self.wait_reason = why;
         if let Some(ticket) = &self.ticket {
-            ticket.note_blocked(target, why);
+            ticket.set_wait_reason(target, why);
         }
         self
     }
 
     /// Whether somebody may still want it here.
-    fn open(&self) -> bool {
-        self.ticket.as_ref().is_none_or(|t| t.open())
+    fn is_open(&self) -> bool {
+        self.ticket.as_ref().is_none_or(|t| t.is_open())
     }
 
     /// Takes it off the other engines: who waits for it, if anybody does.
-    fn claim(&self) -> Option<Done> {
+    fn claim(&self) -> Option<Waiter> {
         self.ticket.as_ref()?.take()
     }
 
     /// This engine cannot serve it after all; the others may.
-    fn yield_to_others(&self, done: Option<Done>) {
+    fn yield_to_others(&self, done: Option<Waiter>) {
         if let (Some(ticket), Some(done)) = (&self.ticket, done) {
             ticket.put_back(done);
         }
@@ -130,11 +130,11 @@
     /// Engines to which each adapter is on its way.
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
     /// Loads on their way from the weight store.
-    coming: AtomicU32,
+    store_loads: AtomicU32,
     window: Mutex<Window>,
     /// Model loads begun lately.
-    models: Mutex<Ceiling>,
-    times: Mutex<[f64; 2]>,
+    model_loads: Mutex<Ceiling>,
+    load_times: Mutex<[f64; 2]>,
 }
 
 impl Default for EngineControllers {
@@ -142,10 +142,10 @@
         Self {
             jobs: Mutex::default(),
             loading: Mutex::default(),
-            coming: AtomicU32::new(0),
+            store_loads: AtomicU32::new(0),
             window: Mutex::default(),
-            models: Mutex::default(),
-            times: Mutex::new(FIRST_LOAD_MS),
+            model_loads: Mutex::default(),
+            load_times: Mutex::new(INITIAL_LOAD_MS),
         }
     }
 }
@@ -157,29 +157,38 @@
 
     /// Whether as many loads are on their way as the weight store does well.
     fn store_full(&self) -> bool {
-        self.coming.load(Ordering::Relaxed) >= self.window().size()
+        self.store_loads.load(Ordering::Relaxed) >= self.window().size()
     }
 
     /// Whether a model load may begin now.
     fn model_may_load(&self, rate: f64, part: f64, now: u64) -> bool {
-        let mut models = self.models.lock().expect("no holder of this lock panics");
+        let mut models = self
+            .model_loads
+            .lock()
+            .expect("no holder of this lock panics");
         models.begin(rate, part, now)
     }
 
     /// Expected ms of a load.
     pub(crate) fn expected_load_ms(&self, recent: bool) -> f64 {
-        let times = self.times.lock().expect("no holder of this lock panics");
+        let times = self
+            .load_times
+            .lock()
+            .expect("no holder of this lock panics");
         times[usize::from(recent)]
     }
 
-    fn learn(&self, recent: bool, took: u64, now: u64) {
+    fn record_load(&self, recent: bool, load_ms: u64, now: u64) {
         if !recent {
             let full = self.store_full();
-            self.window().ended(took, full, now);
+            self.window().ended(load_ms, full, now);
         }
-        let mut times = self.times.lock().expect("no holder of this lock panics");
+        let mut times = self
+            .load_times
+            .lock()
+            .expect("no holder of this lock panics");
         let time = &mut times[usize::from(recent)];
-        *time += LOAD_GAIN * (took as f64 - *time);
+        *time += LOAD_EWMA_WEIGHT * (load_ms as f64 - *time);
     }
 
     fn loading(&self) -> MutexGuard<'_, Map<AdapterRef, Vec<Name>>> {
@@ -197,9 +206,14 @@
 
     /// Whether `adapter` is on its way to another of the engines `among` than
     /// `target`.
-    fn loads_elsewhere(&self, adapter: &AdapterRef, target: &Name, among: &[Name]) -> bool {
+    fn is_loading_elsewhere(
+        &self,
+        adapter: &AdapterRef,
+        target: &Name,
+        candidates: &[Name],
+    ) -> bool {
         let loading = self.loading();
-        let other = |t: &Name| t != target && among.contains(t);
+        let other = |t: &Name| t != target && candidates.contains(t);
         loading
             .get(adapter)
             .is_some_and(|targets| targets.iter().any(other))
@@ -230,9 +244,9 @@
             let now = node.now();
             {
                 let mut view = node.view();
-                view.demand.prune(FORGOTTEN_SCORE, now);
-                view.rush.prune(FORGOTTEN_SCORE, now);
-                view.asked.prune(FORGOTTEN_SCORE, now);
+                view.demand.prune(MIN_DEMAND_SCORE, now);
+                view.rush.prune(MIN_DEMAND_SCORE, now);
+                view.asked.prune(MIN_DEMAND_SCORE, now);
             }
             let ours = engines(&node).into_iter();
             let ours = ours.filter(|t| node.token(&t.domain).is_some());
@@ -243,7 +257,7 @@
             }
             tokio::select! {
                 () = node.changed.notified() => {}
-                () = tokio::time::sleep(Duration::from_millis(IDLE_MS)) => {}
+                () = tokio::time::sleep(Duration::from_millis(IDLE_POLL_MS)) => {}
             }
         }
     });
@@ -266,61 +280,61 @@
     if jobs.get(&target.id).is_some_and(|j| !j.is_closed()) {
         return;
     }
-    let (send, receive) = mpsc::channel(QUEUE);
+    let (send, receive) = mpsc::channel(JOB_QUEUE_LEN);
     jobs.insert(target.id.clone(), send);
     drop(jobs);
-    let keeper = Keeper {
+    let keeper = EngineController {
         node: node.clone(),
         target: target.clone(),
         held: Map::default(),
-        coming: Map::default(),
+        pending: Map::default(),
         sequence: 0,
         synced: false,
-        ready_at: 0,
+        report_after_ms: 0,
         queue: Vec::new(),
-        model_due: 0,
-        full: false,
+        model_due_ms: 0,
+        slots_full: false,
     };
     tokio::spawn(keeper.run(receive));
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Hold {
+struct HeldAdapter {
     version: u64,
-    since: u64,
+    since_ms: u64,
 }
 
-struct Coming {
+struct PendingLoad {
     version: u64,
-    ordered: u64,
-    look: u64,
-    recent: bool,
+    started_at_ms: u64,
+    poll_at_ms: u64,
+    cached: bool,
     /// Ms from the wish to the order, and what they were spent on.
-    queued: u64,
-    blocked: &'static str,
-    done: Vec<Done>,
+    queued_ms: u64,
+    wait_reason: &'static str,
+    waiters: Vec<Waiter>,
 }
 
-struct Keeper {
+struct EngineController {
     node: Arc<Node>,
     target: Arc<Target>,
-    held: Map<AdapterRef, Hold>,
-    coming: Map<AdapterRef, Coming>,
+    held: Map<AdapterRef, HeldAdapter>,
+    pending: Map<AdapterRef, PendingLoad>,
     /// Orders the engine has accepted.
     sequence: u64,
     /// Whether `held`, `coming` and `sequence` are the engine's own word.
     synced: bool,
     /// No report before this.
-    ready_at: u64,
+    report_after_ms: u64,
     queue: Vec<Job>,
     /// No order for a model before this.
-    model_due: u64,
+    model_due_ms: u64,
     /// Whether all places were found to be in use in this pass.
-    full: bool,
+    slots_full: bool,
 }
 
 /// Tells all who wait how it ended.
-fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, PlacementError>) {
+fn finish(waiting: impl IntoIterator<Item = Waiter>, result: Result<Placed, PlacementError>) {
     for done in waiting {
         // Whoever waited may have left.
         let _ = done.send(result.clone());
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -5,7 +5,7 @@
 use comfreyhall_domain::{AdapterRef, Name, Stage};
 use comfreyhall_routing::Standing;
 
-use super::{IDLE_MS, Keeper, SETTLE};
+use super::{EngineController, IDLE_POLL_MS, REPORT_DELAY};
 use crate::{
     fleet::adapter_key,
     leases, outbound,
@@ -14,7 +14,7 @@
 
 /// Longest an answer to an order is waited for. Answers take some ms; an
 /// engine that leaves orders unanswered must not hold up the next one.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(60);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Times that an order is given while it gets no answer. Each bears the same
 /// count of orders accepted before, so the engine carries out one of them at
@@ -24,11 +24,11 @@
 /// and carries them out seconds later; after each the keeper waited a third of
 /// a second for a report, and the engines of a fleet of 60 loaded 12 adapters
 /// a second in place of 110.
-const ORDER_TIMES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
-impl Keeper {
+impl EngineController {
     /// Gives one order under the lease as it is right now.
-    pub(super) async fn order(
+    pub(super) async fn send_command(
         &mut self,
         action: Action,
         adapter: &AdapterRef,
@@ -48,18 +48,18 @@
             holder: self.node.settings().id.clone(),
             token,
         };
-        let reply = self.give(order).await;
+        let reply = self.send_with_retries(order).await;
         log::debug!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
         self.node.metrics.command(reply.name());
         match &reply {
             // A load that is on its way already is accepted again without
             // counting; dropping what is unused is done at once and counts.
-            OrderReply::Accepted if !self.coming.contains_key(adapter) => self.sequence += 1,
+            OrderReply::Accepted if !self.pending.contains_key(adapter) => self.sequence += 1,
             OrderReply::Holds if action == Action::Unload => self.sequence += 1,
             OrderReply::Accepted | OrderReply::Holds => {}
             OrderReply::Conflict | OrderReply::Silent(_) => {
                 self.synced = false;
-                self.ready_at = self.node.now() + SETTLE.as_millis() as u64;
+                self.report_after_ms = self.node.now() + REPORT_DELAY.as_millis() as u64;
             }
             OrderReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
@@ -68,7 +68,7 @@
             // It is not given orders again before it has reported.
             OrderReply::Unsent => self.synced = false,
             OrderReply::Gone => {
-                let until = self.node.now() + IDLE_MS;
+                let until = self.node.now() + IDLE_POLL_MS;
                 let mut view = self.node.view();
                 view.dead.insert(self.target.id.clone(), until);
             }
@@ -80,15 +80,15 @@
     }
 
     /// Gives `order`, again if it gets no answer.
-    async fn give(&self, order: Order) -> OrderReply {
+    async fn send_with_retries(&self, order: Order) -> OrderReply {
         let mut reply = OrderReply::Silent("not given".into());
-        for _ in 0..ORDER_TIMES {
+        for _ in 0..MAX_ATTEMPTS {
             // The lease may have lapsed while an answer was waited for.
             if self.node.token(&self.target.domain) != Some(order.token) {
                 break;
             }
             let target = &self.target;
-            reply = outbound::order(&self.node, target, order.clone(), ORDER_TIMEOUT).await;
+            reply = outbound::order(&self.node, target, order.clone(), COMMAND_TIMEOUT).await;
             if !matches!(reply, OrderReply::Silent(_)) {
                 break;
             }
@@ -97,7 +97,7 @@
     }
 
     pub(super) async fn unload(&mut self, adapter: &AdapterRef) -> bool {
-        let reply = self.order(Action::Unload, adapter, 0).await;
+        let reply = self.send_command(Action::Unload, adapter, 0).await;
         if !matches!(reply, OrderReply::Accepted | OrderReply::Holds) {
             return false;
         }
@@ -117,33 +117,33 @@
     pub(super) async fn load_model(&mut self) {
         let now = self.node.now();
         let empty = self.target.held.is_empty() && self.held.is_empty();
-        if !empty || now < self.model_due || self.target.stage != Stage::Ready {
+        if !empty || now < self.model_due_ms || self.target.stage != Stage::Ready {
             return;
         }
-        let Some((model, load_ms, rate)) = self.wanted_model() else {
+        let Some((model, load_ms, rate)) = self.next_model() else {
             return;
         };
-        let part = self.part_of_groups();
+        let part = self.group_share();
         if !self.node.keepers.model_may_load(rate, part, now) {
-            self.model_due = now + IDLE_MS;
+            self.model_due_ms = now + IDLE_POLL_MS;
             return;
         }
         let adapter = AdapterRef {
             model,
             adapter: None,
         };
-        let reply = self.order(Action::Load, &adapter, 0).await;
+        let reply = self.send_command(Action::Load, &adapter, 0).await;
         log::info!(target: "keeper", id:% = self.target.id, model:% = adapter.model, reply:? = reply; "model ordered");
         // Loads queue at the weight store, so one may take several times its own.
-        self.model_due = self.node.now()
+        self.model_due_ms = self.node.now()
             + match reply {
                 OrderReply::Accepted | OrderReply::Holds => 4 * load_ms,
-                _ => SETTLE.as_millis() as u64,
+                _ => REPORT_DELAY.as_millis() as u64,
             };
     }
 
     /// The model with the fewest engines for its service.
-    pub(super) fn wanted_model(&self) -> Option<(Name, u64, f64)> {
+    pub(super) fn next_model(&self) -> Option<(Name, u64, f64)> {
         let view = self.node.view();
         let config = view.config.as_ref()?;
         let engine = config.services.get(&self.target.service)?.engine.as_ref()?;
@@ -153,7 +153,7 @@
     }
 
     /// This daemon's part of the groups that have engines.
-    fn part_of_groups(&self) -> f64 {
+    fn group_share(&self) -> f64 {
         let own = self.node.leases.held(self.node.settings().bounds.fencing);
         let all = leases::groups(&self.node).len();
         own.len() as f64 / all.max(1) as f64
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -8,7 +8,9 @@
 use comfreyhall_domain::{AdapterRef, Map};
 use comfreyhall_routing::Standing;
 
-use super::{Coming, Hold, IDLE_MS, Keeper, LOOK_MS, SETTLE, finish};
+use super::{
+    EngineController, HeldAdapter, IDLE_POLL_MS, LOAD_POLL_MS, PendingLoad, REPORT_DELAY, finish,
+};
 use crate::{
     outbound,
     ports::{NoReport, Report},
@@ -17,89 +19,95 @@
 /// Longest a report is waited for.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-impl Keeper {
+impl EngineController {
     /// Asks the engine what it holds.
-    pub(super) async fn sync(&mut self) -> bool {
+    pub(super) async fn fetch_report(&mut self) -> bool {
         let now = self.node.now();
-        if now < self.ready_at {
+        if now < self.report_after_ms {
             return false;
         }
         match outbound::report(&self.node, &self.target, REPORT_TIMEOUT).await {
             Ok(report) => {
-                self.adopt(report);
+                self.apply_report(report);
                 true
             }
             Err(why) => {
-                self.unreported(&why);
+                self.report_failed(&why);
                 false
             }
         }
     }
 
-    fn unreported(&mut self, why: &NoReport) {
+    fn report_failed(&mut self, why: &NoReport) {
         log::info!(target: "keeper", id:% = self.target.id, why:%; "no report");
         let now = self.node.now();
-        self.ready_at = now + SETTLE.as_millis() as u64;
+        self.report_after_ms = now + REPORT_DELAY.as_millis() as u64;
         if *why == NoReport::OtherBoot {
             // Requests sent to the boot that is gone are refused, one by one.
-            let until = now + IDLE_MS;
+            let until = now + IDLE_POLL_MS;
             let mut view = self.node.view();
             view.dead.insert(self.target.id.clone(), until);
         }
     }
 
-    pub(super) fn adopt(&mut self, report: Report) {
+    pub(super) fn apply_report(&mut self, report: Report) {
         let now = self.node.now();
         self.sequence = report.sequence;
         self.synced = true;
-        let mut held: Map<AdapterRef, Hold> = Map::default();
+        let mut held: Map<AdapterRef, HeldAdapter> = Map::default();
         for model in &report.held {
             for (name, version) in &model.adapters {
                 let adapter = AdapterRef {
                     model: model.model.clone(),
                     adapter: Some(name.clone()),
                 };
-                let since = self.held.get(&adapter).map_or(0, |h| h.since);
+                let since = self.held.get(&adapter).map_or(0, |h| h.since_ms);
                 let version = *version;
-                held.insert(adapter, Hold { version, since });
+                held.insert(
+                    adapter,
+                    HeldAdapter {
+                        version,
+                        since_ms: since,
+                    },
+                );
             }
         }
         let listed: Map<AdapterRef, u64> = report.coming.into_iter().collect();
-        let old: Vec<AdapterRef> = self.coming.keys().cloned().collect();
+        let old: Vec<AdapterRef> = self.pending.keys().cloned().collect();
         let old = old
             .into_iter()
-            .filter_map(|a| Some((a.clone(), self.take_coming(&a)?)));
-        let old: Vec<(AdapterRef, Coming)> = old.collect();
-        for (adapter, coming) in old {
+            .filter_map(|a| Some((a.clone(), self.take_pending(&a)?)));
+        let old: Vec<(AdapterRef, PendingLoad)> = old.collect();
+        for (adapter, loading) in old {
             match (held.get(&adapter), listed.contains_key(&adapter)) {
-                (Some(hold), _) => finish(coming.done, Ok(self.placed(hold.version))),
-                (None, true) => self.add_coming(adapter, coming),
-                (None, false) => finish(coming.done, Err("the order was lost".into())),
+                (Some(hold), _) => finish(loading.waiters, Ok(self.placed(hold.version))),
+                (None, true) => self.add_pending(adapter, loading),
+                (None, false) => finish(loading.waiters, Err("the order was lost".into())),
             }
         }
         for (adapter, version) in listed {
-            if !self.coming.contains_key(&adapter) {
-                let coming = Coming {
+            if !self.pending.contains_key(&adapter) {
+                let loading = PendingLoad {
                     version,
-                    ordered: now,
-                    look: now + LOOK_MS,
-                    recent: false,
-                    queued: 0,
-                    blocked: "",
-                    done: Vec::new(),
+                    started_at_ms: now,
+                    poll_at_ms: now + LOAD_POLL_MS,
+                    cached: false,
+                    queued_ms: 0,
+                    wait_reason: "",
+                    waiters: Vec::new(),
                 };
-                self.add_coming(adapter, coming);
+                self.add_pending(adapter, loading);
             }
         }
-        self.show(&held, now);
+        self.publish_held(&held, now);
         self.held = held;
         if report.held.is_empty() && !report.busy {
-            self.model_due = self.model_due.min(now);
+            self.model_due_ms = self.model_due_ms.min(now);
         }
     }
 
     /// Shows what the engine holds to the request path.
-    pub(super) fn show(&self, held: &Map<AdapterRef, Hold>, now: u64) {
+    pub(super) fn publish_held(&self, held: &Map<AdapterRef, HeldAdapter>, now: u64) {
         let mut view = self.node.view();
         for (adapter, _) in view.residency.at(&self.target.id) {
             if !held.contains_key(&adapter) {
@@ -113,27 +121,33 @@
         }
     }
 
-    pub(super) fn add_coming(&mut self, adapter: AdapterRef, coming: Coming) {
-        if !coming.recent {
-            self.node.keepers.coming.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn add_pending(&mut self, adapter: AdapterRef, loading: PendingLoad) {
+        if !loading.cached {
+            self.node
+                .keepers
+                .store_loads
+                .fetch_add(1, Ordering::Relaxed);
         }
         self.node.keepers.begin_load(&adapter, &self.target.id);
-        self.coming.insert(adapter, coming);
+        self.pending.insert(adapter, loading);
     }
 
-    pub(super) fn take_coming(&mut self, adapter: &AdapterRef) -> Option<Coming> {
-        let coming = self.coming.remove(adapter)?;
+    pub(super) fn take_pending(&mut self, adapter: &AdapterRef) -> Option<PendingLoad> {
+        let loading = self.pending.remove(adapter)?;
         self.node.keepers.end_load(adapter, &self.target.id);
-        if !coming.recent {
-            self.node.keepers.coming.fetch_sub(1, Ordering::Relaxed);
+        if !loading.cached {
+            self.node
+                .keepers
+                .store_loads
+                .fetch_sub(1, Ordering::Relaxed);
         }
-        Some(coming)
+        Some(loading)
     }
 
-    pub(super) fn forget_coming(&mut self) {
-        let adapters: Vec<AdapterRef> = self.coming.keys().cloned().collect();
+    pub(super) fn clear_pending(&mut self) {
+        let adapters: Vec<AdapterRef> = self.pending.keys().cloned().collect();
         for adapter in adapters {
-            self.take_coming(&adapter);
+            self.take_pending(&adapter);
         }
     }
 }
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -4,19 +4,19 @@
 
 use tokio::sync::mpsc;
 
-use super::{IDLE_MS, Job, Keeper, LOOK_MS, SETTLE};
+use super::{EngineController, IDLE_POLL_MS, Job, LOAD_POLL_MS, REPORT_DELAY};
 use crate::outbound;
 
-impl Keeper {
+impl EngineController {
     pub(super) async fn run(mut self, mut jobs: mpsc::Receiver<Job>) {
         log::info!(target: "keeper", id:% = self.target.id; "keeping engine");
         while self.refresh() {
             let wake = self.advance().await;
-            let pause = wake.saturating_sub(self.node.now()).clamp(1, IDLE_MS);
+            let pause = wake.saturating_sub(self.node.now()).clamp(1, IDLE_POLL_MS);
             tokio::select! {
                 job = jobs.recv() => {
                     for job in job.into_iter().chain(std::iter::from_fn(|| jobs.try_recv().ok())) {
-                        self.take(job);
+                        self.enqueue(job);
                     }
                 }
                 () = self.node.changed.notified() => {}
@@ -24,12 +24,12 @@
             }
         }
         self.queue.clear();
-        self.forget_coming();
+        self.clear_pending();
         log::info!(target: "keeper", id:% = self.target.id; "no longer keeping engine");
     }
 
     /// Queues a job; one copy of an adapter is enough.
-    fn take(&mut self, job: Job) {
+    fn enqueue(&mut self, job: Job) {
         let same = |j: &Job| j.ticket.is_none() && j.adapter == job.adapter;
         if job.ticket.is_some() || !self.queue.iter().any(same) {
             self.queue.push(job);
@@ -48,41 +48,41 @@
     pub(super) async fn advance(&mut self) -> u64 {
         let now = self.node.now();
         if let Some(closed) = outbound::closed(&self.node, &self.target.id) {
-            self.set_aside();
+            self.abandon_jobs();
             return now + closed.retry_ms;
         }
-        self.drop_late(now);
-        if !self.synced && !self.sync().await {
-            return self.node.now() + SETTLE.as_millis() as u64;
+        self.drop_expired(now);
+        if !self.synced && !self.fetch_report().await {
+            return self.node.now() + REPORT_DELAY.as_millis() as u64;
         }
         self.load_model().await;
-        self.look_at_coming().await;
-        self.renew_outdated().await;
+        self.poll_pending().await;
+        self.drop_outdated().await;
         let now = self.node.now();
         self.queue.sort_by_key(|j| j.waiting.rank(now));
-        self.full = false;
+        self.slots_full = false;
         let mut later = Vec::new();
         for job in std::mem::take(&mut self.queue) {
-            if let Some(job) = self.work(job).await {
+            if let Some(job) = self.process_job(job).await {
                 later.push(job);
             }
         }
         self.queue = later;
-        let look = self.coming.values().map(|c| c.look).min();
-        let blocked = (!self.queue.is_empty()).then(|| self.node.now() + LOOK_MS);
-        let idle = self.node.now() + IDLE_MS;
+        let look = self.pending.values().map(|c| c.poll_at_ms).min();
+        let blocked = (!self.queue.is_empty()).then(|| self.node.now() + LOAD_POLL_MS);
+        let idle = self.node.now() + IDLE_POLL_MS;
         look.into_iter().chain(blocked).min().unwrap_or(idle)
     }
 
     /// Lets go of all that waits for this engine: others may do it.
-    fn set_aside(&mut self) {
+    fn abandon_jobs(&mut self) {
         self.queue.clear();
-        self.forget_coming();
+        self.clear_pending();
         self.synced = false;
     }
 
     /// Forgets jobs whose callers no longer wait.
-    pub(super) fn drop_late(&mut self, now: u64) {
-        self.queue.retain(|j| now < j.until && j.open());
+    pub(super) fn drop_expired(&mut self, now: u64) {
+        self.queue.retain(|j| now < j.expires_at_ms && j.is_open());
     }
 }
--- a/crates/comfreyhall-node/src/keeper/ticket.rs
+++ b/crates/comfreyhall-node/src/keeper/ticket.rs
@@ -36,84 +36,90 @@
 }
 
 /// Who waits for an adapter.
-pub(super) type Done = oneshot::Sender<Result<Placed, PlacementError>>;
+pub(super) type Waiter = oneshot::Sender<Result<Placed, PlacementError>>;
 
 /// Engines that took no orders, as keepers noted. It outlives the ticket: when
 /// all keepers have let go of a wish, its asker still learns of them.
 #[derive(Clone, Default)]
-pub(super) struct Gone(Arc<Mutex<Vec<Name>>>);
+pub(super) struct GoneEngines(Arc<Mutex<Vec<Name>>>);
 
-impl Gone {
-    fn all(&self) -> MutexGuard<'_, Vec<Name>> {
+impl GoneEngines {
+    fn engines(&self) -> MutexGuard<'_, Vec<Name>> {
         self.0.lock().expect("no holder of this lock panics")
     }
 
     /// What was noted so far.
-    pub(super) fn noted(&self) -> Vec<Name> {
-        self.all().clone()
+    pub(super) fn snapshot(&self) -> Vec<Name> {
+        self.engines().clone()
     }
 }
 
 /// A wish, shared by the keepers of all engines that may fulfil it.
 pub(super) struct Ticket {
-    done: Mutex<Option<Done>>,
+    waiter: Mutex<Option<Waiter>>,
     /// Engines that may fulfil it.
-    among: Vec<Name>,
-    gone: Gone,
+    candidates: Vec<Name>,
+    gone: GoneEngines,
     /// What the first of them last waited for.
-    blocked: Mutex<&'static str>,
+    wait_reason: Mutex<&'static str>,
 }
 
 impl Ticket {
     /// A wish of `done` that the engines `among` may fulfil; those that are
     /// found to be gone are noted in `gone`.
-    pub(super) fn new(done: Done, among: Vec<Name>, gone: Gone) -> Self {
+    pub(super) fn new(done: Waiter, among: Vec<Name>, gone: GoneEngines) -> Self {
         Self {
-            done: Mutex::new(Some(done)),
-            among,
+            waiter: Mutex::new(Some(done)),
+            candidates: among,
             gone,
-            blocked: Mutex::new(""),
+            wait_reason: Mutex::new(""),
         }
     }
 
     /// Notes what `target` waits for before it can fulfil it.
-    pub(super) fn note_blocked(&self, target: &Name, why: &'static str) {
-        if self.among.first() == Some(target) {
-            *self.blocked.lock().expect("no holder of this lock panics") = why;
+    pub(super) fn set_wait_reason(&self, target: &Name, why: &'static str) {
+        if self.candidates.first() == Some(target) {
+            *self
+                .wait_reason
+                .lock()
+                .expect("no holder of this lock panics") = why;
         }
     }
 
     /// What the first engine last waited for.
-    pub(super) fn blocked(&self) -> &'static str {
-        *self.blocked.lock().expect("no holder of this lock panics")
+    pub(super) fn wait_reason(&self) -> &'static str {
+        *self
+            .wait_reason
+            .lock()
+            .expect("no holder of this lock panics")
     }
 
     /// Engines that may fulfil it.
-    pub(super) fn among(&self) -> &[Name] {
-        &self.among
+    pub(super) fn candidates(&self) -> &[Name] {
+        &self.candidates
     }
 
-    fn done(&self) -> MutexGuard<'_, Option<Done>> {
-        self.done.lock().expect("no holder of this lock panics")
+    fn waiter(&self) -> MutexGuard<'_, Option<Waiter>> {
+        self.waiter.lock().expect("no holder of this lock panics")
     }
 
     /// Whether somebody waits and no engine fulfils it yet.
-    pub(super) fn open(&self) -> bool {
-        self.done().as_ref().is_some_and(|d| !d.is_closed())
+    pub(super) fn is_open(&self) -> bool {
+        self.waiter().as_ref().is_some_and(|d| !d.is_closed())
     }
 
     /// Who waits; nobody else gets it any more.
-    pub(super) fn take(&self) -> Option<Done> {
-        self.done().take()
+    pub(super) fn take(&self) -> Option<Waiter> {
+        self.waiter().take()
     }
 
     /// Offers the wish to the other engines again.
-    pub(super) fn put_back(&self, done: Done) {
-        *self.done() = Some(done);
+    pub(super) fn put_back(&self, done: Waiter) {
+        *self.waiter() = Some(done);
     }
 
     /// Notes an engine that takes no orders.
     pub(super) fn note_gone(&self, target: &Name) {
-        self.gone.all().push(target.clone());
+        self.gone.engines().push(target.clone());
     }
 }
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -6,7 +6,7 @@
 use comfreyhall_placement::Waiting;
 use tokio::sync::oneshot;
 
-use super::{Job, Placed, PlacementError, Ticket, ticket::Gone};
+use super::{Job, Placed, PlacementError, Ticket, ticket::GoneEngines};
 use crate::node::Node;
 
 /// An engine that may take an adapter.
@@ -39,42 +39,46 @@
 /// Has one of the engines kept here hold the adapter.
 pub(crate) async fn place_adapter(
     node: &Arc<Node>,
-    wish: PlacementRequest,
+    request: PlacementRequest,
 ) -> Result<Placed, PlacementError> {
     let (done, mut wait) = oneshot::channel();
-    let among = wish.candidates.iter().map(|p| p.target.clone()).collect();
-    let gone = Gone::default();
-    let ticket = Arc::new(Ticket::new(done, among, gone.clone()));
+    let targets = request
+        .candidates
+        .iter()
+        .map(|p| p.target.clone())
+        .collect();
+    let gone = GoneEngines::default();
+    let ticket = Arc::new(Ticket::new(done, targets, gone.clone()));
     let now = node.now();
     let mut offered = false;
-    for pick in &wish.candidates {
+    for candidate in &request.candidates {
         let job = Job {
-            adapter: wish.adapter.clone(),
-            version: wish.version,
+            adapter: request.adapter.clone(),
+            version: request.version,
             waiting: Waiting {
-                priority: wish.priority,
+                priority: request.priority,
                 since: now,
-                aim: now + wish.objective_ms,
+                aim: now + request.objective_ms,
             },
             ticket: Some(ticket.clone()),
-            extra_ms: pick.extra_ms,
-            until: now + wish.start_timeout.as_millis() as u64,
-            blocked: "",
+            extra_ms: candidate.extra_ms,
+            expires_at_ms: now + request.start_timeout.as_millis() as u64,
+            wait_reason: "",
         };
-        let jobs = node.keepers.jobs().get(&pick.target).cloned();
+        let jobs = node.keepers.jobs().get(&candidate.target).cloned();
         offered |= jobs.is_some_and(|j| j.try_send(job).is_ok());
     }
     if !offered {
         return Err("no engine has a keeper with room for more".into());
     }
     // The keepers have the wish now; when all have let go of it, it fails.
-    let told = Arc::downgrade(&ticket);
+    let weak_ticket = Arc::downgrade(&ticket);
     drop(ticket);
-    let begun = tokio::time::timeout(wish.start_timeout, &mut wait).await;
-    let ticket = told.upgrade();
-    let blocked = ticket.as_ref().map_or("", |t| t.blocked());
-    let untaken = ticket.and_then(|t| t.take());
-    let ended = match (begun, untaken) {
+    let started = tokio::time::timeout(request.start_timeout, &mut wait).await;
+    let ticket = weak_ticket.upgrade();
+    let blocked = ticket.as_ref().map_or("", |t| t.wait_reason());
+    let unclaimed = ticket.and_then(|t| t.take());
+    let ended = match (started, unclaimed) {
         (Ok(ended), _) => ended,
         // No engine began, and none may begin any more.
         (Err(_), Some(_)) => {
@@ -83,7 +87,7 @@
         }
         // A load is on its way: left now, it would have been for nothing.
         (Err(_), None) => {
-            let rest = wish.total_timeout.saturating_sub(wish.start_timeout);
+            let rest = request.total_timeout.saturating_sub(request.start_timeout);
             let ended = tokio::time::timeout(rest, wait).await;
             ended.map_err(|_| {
                 PlacementError::from("the load takes longer than the request may wait")
@@ -93,10 +97,10 @@
     ended.unwrap_or_else(|_| Err(unplaced("no engine could take it", &gone)))
 }
 
-fn unplaced(why: &str, gone: &Gone) -> PlacementError {
+fn unplaced(why: &str, gone: &GoneEngines) -> PlacementError {
     PlacementError {
         why: why.to_string(),
-        gone: gone.noted(),
+        gone: gone.snapshot(),
     }
 }
 
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -21,7 +21,7 @@
         job.ticket.as_ref().unwrap().note_gone(&"e".into());
         job.yield_to_others(done);
     });
-    let wish = PlacementRequest {
+    let request = PlacementRequest {
         adapter: AdapterRef {
             model: "m".into(),
             adapter: Some("a".into()),
@@ -36,6 +36,6 @@
         start_timeout: Duration::from_secs(5),
         total_timeout: Duration::from_secs(5),
     };
-    let unplaced = place_adapter(&node, wish).await.unwrap_err();
+    let unplaced = place_adapter(&node, request).await.unwrap_err();
     assert_eq!(unplaced.gone, ["e".into()]);
 }
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -256,7 +256,7 @@
         && node
             .fleet
             .successor(group, now)
-            .is_some_and(|to| node.fleet.better(group, &to))
+            .is_some_and(|to| node.fleet.is_better_placed(group, &to))
 }
 
 /// Gives `group` back for whoever is better placed.
@@ -266,7 +266,7 @@
         Ok(Ok(())) => {
             log::info!(target: "leases", group:% = group; "lease left to a daemon that is better placed");
             node.changed.notify_waiters();
-            fleet::tell_all(node).await;
+            fleet::notify_all(node).await;
         }
         Ok(Err(e)) => {
             log::warn!(target: "leases", group:% = group, error:% = e; "lease not given back; tried again")
@@ -284,11 +284,11 @@
 /// once, an outage of the store in a fleet of 90 cost 360 calls a second for
 /// leases that nobody could take.
 fn patience_ms(node: &Node, group: &Name, term_ms: u64) -> u64 {
-    let ahead = node.fleet.ahead(group, node.now());
+    let ahead = node.fleet.precedence(group, node.now());
     // What goes wrong without the last: the first of 195 daemons to be ready
     // knows of no other yet, and took the leases of four domains out of five.
     let stranger = *node.settings().domain != **group && node.age() < VACANT_TERMS * term_ms;
-    let class = match (ahead.better, node.fleet.weak() || stranger) {
+    let class = match (ahead.better, node.fleet.is_underpowered() || stranger) {
         (true, _) => VACANT_TERMS * term_ms,
         (false, true) => term_ms,
         (false, false) => 0,
@@ -333,7 +333,7 @@
         log::info!(target: "leases", group:% = group, before:? = before, token:? = after; "lease changed");
         node.changed.notify_waiters();
         if after.is_some() {
-            tokio::spawn(fleet::announce(node.clone()));
+            tokio::spawn(fleet::announce_lease(node.clone()));
         }
     }
 }
@@ -368,10 +368,10 @@
         };
         if let Some(token) = node.leases.hand_over(group, fencing) {
             log::info!(target: "leases", group:% = group, token, to:% = to; "orders handed on");
-            node.fleet.cede(group, token, &to);
+            node.fleet.announce_handover(group, token, &to);
         }
     }
     if !kept.is_empty() {
-        fleet::tell_all(node).await;
+        fleet::notify_all(node).await;
     }
 }
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -114,7 +114,7 @@
             node.fleet.add_peer(addr, false);
         }
     }
-    node.fleet.listed();
+    node.fleet.mark_members_listed();
     Ok(())
 }
 
--- a/crates/comfreyhall-node/src/quarantine/spread.rs
+++ b/crates/comfreyhall-node/src/quarantine/spread.rs
@@ -34,7 +34,7 @@
     loop {
         node.quarantine.found.notified().await;
         tokio::time::sleep(GATHER).await;
-        fleet::tell_found(&node);
+        fleet::notify_findings(&node);
         tokio::time::sleep(ROUND_PAUSE).await;
     }
 }
--- a/crates/comfreyhall-node/src/stop.rs
+++ b/crates/comfreyhall-node/src/stop.rs
@@ -53,7 +53,7 @@
     node.set_stopping(began);
     node.life.handle(Event::Stop);
     log::info!(target: "stop", in_flight = node.in_flight(); "leaving");
-    fleet::tell_all(node).await;
+    fleet::notify_all(node).await;
     tokio::time::sleep(LINGER).await;
     close_idle();
     drained(node, began).await;
