--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -29,10 +29,10 @@
 use crate::{clock, leases, node::Node, outbound};
 
 /// Pause before a request that nobody could be asked for looks again, in ms.
-const LOOK_MS: u64 = 40;
+const RETRY_POLL_MS: u64 = 40;
 
 /// The group of workspaces where no group of engines is known.
-const ONLY_GROUP: &str = "fleet";
+const DEFAULT_GROUP: &str = "fleet";
 
 /// What caps bound the use of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,10 +57,10 @@
 
 /// Caps of one kind as this daemon keeps them.
 pub(crate) struct Quotas {
-    of: QuotaKind,
+    kind: QuotaKind,
     state: Mutex<State>,
     /// Told when a home has answered.
-    settled: Notify,
+    answered: Notify,
 }
 
 #[derive(Default)]
@@ -91,9 +91,9 @@
 impl Quotas {
     pub(crate) fn new(of: QuotaKind) -> Self {
         Self {
-            of,
+            kind: of,
             state: Mutex::default(),
-            settled: Notify::new(),
+            answered: Notify::new(),
         }
     }
 
@@ -104,7 +104,7 @@
     /// Whether there is any cap.
     pub(crate) fn in_use(&self) -> bool {
         let state = self.state();
-        match self.of {
+        match self.kind {
             QuotaKind::Workspaces => state.meter.is_some(),
             QuotaKind::Targets => !state.limits.is_empty(),
         }
@@ -113,7 +113,7 @@
     /// Sees that the meter has the caps of `config`.
     pub(crate) fn sync_config(&self, node: &Node, config: &Config) {
         if self.state().version != config.version {
-            refresh(node, self.of);
+            refresh(node, self.kind);
         }
     }
 
@@ -149,7 +149,7 @@
 pub(crate) fn groups(node: &Node) -> Vec<Name> {
     let mut groups = leases::groups(node);
     if groups.is_empty() {
-        groups.push(ONLY_GROUP.into());
+        groups.push(DEFAULT_GROUP.into());
     }
     groups
 }
@@ -174,13 +174,13 @@
         return;
     }
     let meter = state.meter.get_or_insert_with(|| {
-        let me = me(node);
+        let me = own_home(node);
         Box::new(Granting::new(me))
     });
     meter.keep(limits.clone(), &groups, now);
     state.limits = limits;
     state.groups = groups;
-    meet(node, QuotaKind::Targets, &mut state);
+    update_members(node, QuotaKind::Targets, &mut state);
 }
 
 fn refresh_workspaces(node: &Node) {
@@ -201,19 +201,19 @@
     meter.configure(workspaces, &groups, now);
     state.version = config.version;
     state.groups = groups;
-    meet(node, QuotaKind::Workspaces, &mut state);
+    update_members(node, QuotaKind::Workspaces, &mut state);
 }
 
 /// Tells the meter who is there.
-fn meet(node: &Node, of: QuotaKind, state: &mut State) {
-    let met = settle::homes(node, of, &state.groups);
+fn update_members(node: &Node, of: QuotaKind, state: &mut State) {
+    let met = settle::coordinators(node, of, &state.groups);
     if let Some(meter) = &mut state.meter {
         meter.meet(&met.homes, met.fleet, node.now());
     }
 }
 
 /// This process, as a home.
-fn me(node: &Node) -> Home {
+fn own_home(node: &Node) -> Home {
     Home {
         peer: node.fleet.peer_addr().into(),
         boot: node.fleet.boot(),
@@ -227,7 +227,7 @@
         overshoot: settings.caps.overshoot,
         slack: settings.caps.slack,
     };
-    let me = me(node);
+    let me = own_home(node);
     match settings.caps.way {
         CapWay::Lending => Box::new(Lending::new(me, tolerance, clock::now())),
         CapWay::Sharing => Box::new(Sharing::new(me, tolerance)),
@@ -237,34 +237,36 @@
 /// Takes credit of `size` units of `name` for a request.
 pub(crate) async fn reserve(
     node: &Arc<Node>,
-    of: QuotaKind,
+    kind: QuotaKind,
     name: &Name,
     size: u64,
 ) -> Result<Credit, QuotaError> {
-    let caps = node.caps_of(of);
+    let caps = node.caps_of(kind);
     let began = node.now();
     if let Some(meter) = &mut caps.state().meter {
         meter.ask(name, size, began);
     }
-    let until = began + of.answer_ms();
+    let until = began + kind.answer_ms();
     loop {
         let now = node.now();
         let taken = match &mut caps.state().meter {
             Some(meter) => meter.take(name, size, now),
             None => Taken::Unsure {
-                retry_ms: of.answer_ms(),
+                retry_ms: kind.answer_ms(),
             },
         };
         match taken {
-            Taken::Granted => return Ok(Credit::new(node, of, name, size)),
+            Taken::Granted => return Ok(Credit::new(node, kind, name, size)),
             Taken::Over { retry_ms } => return Err(QuotaError::Exceeded { retry_ms }),
             Taken::Ask(call) => {
-                if !answered(node, of, name, call, until).await {
-                    return Err(QuotaError::Unknown { retry_ms: LOOK_MS });
+                if !await_answer(node, kind, name, call, until).await {
+                    return Err(QuotaError::Unknown {
+                        retry_ms: RETRY_POLL_MS,
+                    });
                 }
             }
             Taken::Unsure { retry_ms } if now + retry_ms <= until && now < until => {
-                let pause = LOOK_MS.min(until - now);
+                let pause = RETRY_POLL_MS.min(until - now);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
             Taken::Unsure { retry_ms } => return Err(QuotaError::Unknown { retry_ms }),
@@ -274,10 +276,10 @@
 
 /// Waits until the home of `name` has answered `call`, at most until `until`;
 /// false if it has not.
-async fn answered(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
+async fn await_answer(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
     let caps = node.caps_of(of);
     loop {
-        let settled = caps.settled.notified();
+        let settled = caps.answered.notified();
         tokio::pin!(settled);
         settled.as_mut().enable();
         let done = match &caps.state().meter {
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -5,11 +5,11 @@
 use comfreyhall_domain::{Map, Name};
 use comfreyhall_workspace::{Call, Fleet, Home};
 
-use super::{QuotaKind, Quotas, me, refresh, wire};
+use super::{QuotaKind, Quotas, own_home, refresh, wire};
 use crate::{leases, node::Node, outbound};
 
 /// Pause between looks at which homes are due.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL: Duration = Duration::from_millis(100);
 
 /// Longest one call may take: requests wait for it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
@@ -28,27 +28,27 @@
                 refresh(&node, of);
                 let caps = node.caps_of(of);
                 if caps.in_use() {
-                    meet(&node, caps);
+                    refresh_members(&node, caps);
                     settle_due(&node, of);
                 }
             }
             tokio::select! {
                 () = node.changed.notified() => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(POLL) => {}
             }
         }
     });
 }
 
 /// Who is there, as the meter is told.
-pub(super) struct Met {
+pub(super) struct Coordinators {
     pub(super) homes: Map<Name, Home>,
     pub(super) fleet: Fleet,
 }
 
-fn meet(node: &Node, caps: &Quotas) {
+fn refresh_members(node: &Node, caps: &Quotas) {
     let groups = caps.state().groups.clone();
-    let met = homes(node, caps.of, &groups);
+    let met = coordinators(node, caps.kind, &groups);
     let now = node.now();
     if let Some(meter) = &mut caps.state().meter {
         meter.meet(&met.homes, met.fleet, now);
@@ -60,7 +60,7 @@
 ///
 /// Limits of targets rest on there being one home at a time, so where there are
 /// leases nobody stands in for their holders.
-pub(super) fn homes(node: &Node, of: QuotaKind, groups: &[Name]) -> Met {
+pub(super) fn coordinators(node: &Node, of: QuotaKind, groups: &[Name]) -> Coordinators {
     let now = node.now();
     let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.preferred_daemon(group, now) {
@@ -68,12 +68,12 @@
         None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
     let home = |group: &Name| match node.token(group) {
-        Some(_) => Some(me(node)),
+        Some(_) => Some(own_home(node)),
         None => {
             let peer = node.fleet.holder(group, now);
             let peer = peer.or_else(|| first(group).filter(|_| stands_in))?;
             if *peer == *node.fleet.peer_addr() {
-                return Some(me(node));
+                return Some(own_home(node));
             }
             let boot = node.fleet.boot_of(&peer)?;
             Some(Home { peer, boot })
@@ -83,7 +83,7 @@
     let homes = homes.collect();
     let members = node.fleet.members(now);
     let stale = node.view().book.settings_sync.age(now) > STALE_MS;
-    Met {
+    Coordinators {
         homes,
         fleet: Fleet {
             members: members.unwrap_or(0),
@@ -116,8 +116,8 @@
 /// Calls the home of `group`, whether or not it is due.
 pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
     let now = node.now();
-    let mut met = homes(node, of, std::slice::from_ref(&group));
-    let Some(home) = met.homes.remove(&group).filter(|h| *h != me(node)) else {
+    let mut met = coordinators(node, of, std::slice::from_ref(&group));
+    let Some(home) = met.homes.remove(&group).filter(|h| *h != own_home(node)) else {
         return;
     };
     let call = {
@@ -142,7 +142,7 @@
         Ok(Ok(reply)) => (Some(wire::from_reply(&node, reply.into_inner())), false),
         Ok(Err(status)) => {
             log::debug!(target: "caps", peer:% = home.peer, group:%, error:% = status.message(); "home not reached");
-            (None, refused(&status))
+            (None, connection_refused(&status))
         }
         Err(_) => {
             log::debug!(target: "caps", peer:% = home.peer, group:%; "home silent");
@@ -157,11 +157,11 @@
             meter.ended(&home);
         }
     }
-    caps.settled.notify_waiters();
+    caps.answered.notify_waiters();
 }
 
 /// Whether nothing listens there any more: the process has ended.
-fn refused(status: &tonic::Status) -> bool {
+fn connection_refused(status: &tonic::Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(e) = cause {
         let io = e.downcast_ref::<std::io::Error>();
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -8,7 +8,7 @@
 use super::QuotaKind;
 use crate::{node::Node, outbound};
 
-fn of_wire(of: CapsOf) -> QuotaKind {
+fn kind_from_wire(of: CapsOf) -> QuotaKind {
     match of {
         CapsOf::Workspaces => QuotaKind::Workspaces,
         CapsOf::Targets => QuotaKind::Targets,
@@ -52,20 +52,20 @@
 fn from_call(call: CapCall) -> Call {
     let lines = call.lines.into_iter().map(|l| Line {
         workspace: l.workspace,
-        held: units(l.held),
-        reserved: units(l.reserved),
-        returned: units(l.returned),
-        need: units(l.need),
-        least: units(l.least),
-        want: units(l.want),
-        demand: units(l.demand),
+        held: valid_units(l.held),
+        reserved: valid_units(l.reserved),
+        returned: valid_units(l.returned),
+        need: valid_units(l.need),
+        least: valid_units(l.least),
+        want: valid_units(l.want),
+        demand: valid_units(l.demand),
     });
     Call {
         from: call.from,
         boot: call.boot,
         serial: call.serial,
         group: call.group,
-        share: units(call.share),
+        share: valid_units(call.share),
         as_of: call.as_of,
         term_ms: call.term_ms,
         lines: lines.collect(),
@@ -73,7 +73,7 @@
 }
 
 /// A number of units as another daemon told it; nonsense is none.
-fn units(told: f64) -> f64 {
+fn valid_units(told: f64) -> f64 {
     if told.is_finite() { told.max(0.0) } else { 0.0 }
 }
 
@@ -101,22 +101,22 @@
     outbound::learn(node, &reply.words, "home");
     let lines = reply.lines.into_iter().map(|l| Settled {
         workspace: l.workspace,
-        grant: units(l.grant),
+        grant: valid_units(l.grant),
         retry_ms: l.retry_ms,
-        others: units(l.others),
-        lent: units(l.lent),
+        others: valid_units(l.others),
+        lent: valid_units(l.lent),
     });
     Reply {
         boot: reply.boot,
         clock: reply.clock,
-        part: units(reply.part),
+        part: valid_units(reply.part),
         lines: lines.collect(),
     }
 }
 
 /// Answers another daemon that settles here.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
-    let of = of_wire(message.of());
+    let of = kind_from_wire(message.of());
     outbound::learn(node, &message.words, &message.from);
     super::refresh(node, of);
     let call = from_call(message);
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -19,19 +19,19 @@
 pub(crate) struct TopicRows {
     pub(crate) rows: Map<Name, Fact>,
     /// Version at which each row last changed in what peers must know.
-    pub(crate) news: Map<Name, u64>,
+    pub(crate) changed_versions: Map<Name, u64>,
     /// Newest version covered.
     pub(crate) version: u64,
     /// When the store said what is known here, to us or to a peer; of the settings
     /// [`InForce`] knows it.
-    pub(crate) as_of: u64,
+    pub(crate) as_of_ms: u64,
 }
 
 impl TopicRows {
     /// Ms since the store said what is known here; the most there is if it
     /// never did.
     pub(crate) fn age(&self, now: u64) -> u64 {
-        match self.as_of {
+        match self.as_of_ms {
             0 => u64::MAX,
             as_of => now.saturating_sub(as_of),
         }
@@ -39,7 +39,7 @@
 
     /// The store said at `at` that this is all.
     pub(crate) fn confirm(&mut self, at: u64) {
-        self.as_of = self.as_of.max(at);
+        self.as_of_ms = self.as_of_ms.max(at);
     }
 }
 
@@ -65,14 +65,17 @@
 #[derive(Debug)]
 pub(crate) struct Provenance {
     pub(crate) way: Way,
-    pub(crate) asked: u64,
+    pub(crate) requested_at_ms: u64,
 }
 
 impl Provenance {
     /// The store's answer to a call that began at `asked`.
     pub(crate) fn store(asked: u64) -> Self {
         let way = Way::Store;
-        Self { way, asked }
+        Self {
+            way,
+            requested_at_ms: asked,
+        }
     }
 }
 
@@ -89,13 +92,18 @@
             continue;
         }
         if topic == Topic::Settings {
-            let Provenance { way, asked } = origin;
+            let Provenance {
+                way,
+                requested_at_ms: asked,
+            } = origin;
             view.book.settings_sync.take(fact.version, way, *asked, now);
         }
-        let news = take(node, &mut view, topic, &fact, now);
+        let news = apply_row(node, &mut view, topic, &fact, now);
         let shelf = view.book.topic_rows(topic);
         if news {
-            shelf.news.insert(fact.key.clone(), fact.version);
+            shelf
+                .changed_versions
+                .insert(fact.key.clone(), fact.version);
         }
         shelf.rows.insert(fact.key.clone(), fact);
         changed |= news;
@@ -112,12 +120,12 @@
 /// the adapters it holds, of which the holder of its lease tells sooner.
 /// Telling peers of each such row came to 1.7 GB between failure domains in
 /// a calm day of 89 daemons and 93 targets, which filled the smaller links.
-fn take(node: &Node, view: &mut View, topic: Topic, fact: &Fact, now: u64) -> bool {
+fn apply_row(node: &Node, view: &mut View, topic: Topic, fact: &Fact, now: u64) -> bool {
     if fact.value.is_none() {
         if topic == Topic::Targets {
             view.unread.remove(&fact.key);
             if let Some(known) = view.boot_of(&fact.key) {
-                forget(view, &known.id);
+                remove_target(view, &known.id);
             }
         }
         return true;
@@ -134,7 +142,7 @@
             for problem in odd {
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
-            tell_in_force(node, view, &config, fact);
+            log_active_config(node, view, &config, fact);
             view.book.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
             view.ranks = Ranks::of(&config);
@@ -164,7 +172,7 @@
                     return false;
                 }
                 log::info!(target: "follow", id:% = known.id, next:% = target.id; "target started again");
-                forget(view, &known.id);
+                remove_target(view, &known.id);
             }
             let known = view.targets.get(&target.id);
             if known.is_none_or(|t| t.stage != target.stage) {
@@ -174,13 +182,13 @@
                 };
                 log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = fact.version; "target");
             }
-            let news = known.is_none_or(|t| !same(t, &target));
+            let news = known.is_none_or(|t| !routes_alike(t, &target));
             view.residency.publish(&target, now);
             view.targets.insert(target.id.clone(), Arc::new(target));
             return news;
         }
         Ok(Decoded::Other) => {}
-        Err(problem) if topic == Topic::Targets => shun(view, &fact.key, problem),
+        Err(problem) if topic == Topic::Targets => mark_unreadable(view, &fact.key, problem),
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
@@ -193,7 +201,7 @@
 }
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
-fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Fact) {
+fn log_active_config(node: &Node, view: &View, config: &Config, fact: &Fact) {
     let Some(taken) = view.book.settings_sync.taken() else {
         return;
     };
@@ -209,7 +217,7 @@
 ///
 /// Others write to the table too, so such an entry may stand where a living
 /// target's did: what is known of that target is kept for its next entry.
-fn shun(view: &mut View, name: &Name, problem: String) {
+fn mark_unreadable(view: &mut View, name: &Name, problem: String) {
     if let Some(known) = view.boot_of(name) {
         let mut target = (*known).clone();
         target.stage = Stage::Draining;
@@ -222,12 +230,12 @@
 }
 
 /// Whether two entries of a target differ in nothing that routes depend on.
-fn same(a: &Target, b: &Target) -> bool {
+fn routes_alike(a: &Target, b: &Target) -> bool {
     let models = |t: &Target| t.held.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
 }
 
-fn forget(view: &mut View, target: &Name) {
+fn remove_target(view: &mut View, target: &Name) {
     if view.targets.remove(target).is_some() {
         log::info!(target: "follow", id:% = target; "target gone");
     }
@@ -237,7 +245,7 @@
 }
 
 /// Marks targets that a full read as of `version` no longer lists as gone.
-pub(crate) fn sweep(node: &Node, listed: &Facts) {
+pub(crate) fn remove_unlisted(node: &Node, listed: &Facts) {
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Fact> = {
         let mut view = node.view();
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -222,12 +222,12 @@
     let rows: Vec<Fact> = rows.rows.into_iter().map(news::from_wire).collect();
     let origin = Provenance {
         way: Way::Peer(node.fleet.id_of(addr)),
-        asked,
+        requested_at_ms: asked,
     };
     let version = newest;
     facts::apply(node, Topic::Settings, Facts { rows, version }, &origin);
     node.view().book.settings_sync.peer_gave(newest);
-    follow::settle(node);
+    follow::start_if_synced(node);
     Ok(())
 }
 
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -49,7 +49,7 @@
         }
         news.runs = state.runs_for(addr, now);
         if let Some(peer) = state.peers.get(addr) {
-            (news.evidence, news.told_serial) = wire::since(node, peer.findings_acked);
+            (news.evidence, news.told_serial) = wire::findings_since(node, peer.findings_acked);
             news.heard_boot = peer.findings_heard.boot;
             news.heard_serial = peer.findings_heard.serial;
             news.echoed_at = peer.clock_ms;
@@ -190,7 +190,7 @@
         for addr in &news.peers {
             self.add_peer(addr, false);
         }
-        wire::hear(node, &news.evidence);
+        wire::apply_findings(node, &news.evidence);
         outbound::learn(node, &news.words, &from.id);
         let mut works = self.update_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
@@ -240,7 +240,7 @@
         };
         let origin = Provenance {
             way: Way::Peer(peer.clone()),
-            asked: now,
+            requested_at_ms: now,
         };
         for (topic, rows) in [(Topic::Settings, settings), (Topic::Targets, news.targets)] {
             if rows.is_empty() {
@@ -249,7 +249,7 @@
             let rows: Vec<Fact> = rows.into_iter().map(from_wire).collect();
             let version = rows.iter().map(|f| f.version).max().unwrap_or(0);
             facts::apply(node, topic, Facts { rows, version }, &origin);
-            follow::settle(node);
+            follow::start_if_synced(node);
         }
         let mut view = node.view();
         if age != u64::MAX && covers {
@@ -383,7 +383,10 @@
     // All settings, so that nobody lacks the newest row; of targets, what matters.
     let newer = |fact: &&Fact| match topic {
         Topic::Settings => fact.version > version,
-        Topic::Targets => shelf.news.get(&fact.key).is_some_and(|v| *v > version),
+        Topic::Targets => shelf
+            .changed_versions
+            .get(&fact.key)
+            .is_some_and(|v| *v > version),
     };
     shelf.rows.values().filter(newer).map(to_wire).collect()
 }
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -35,10 +35,10 @@
 /// after which a daemon looks: the one that draws least, and the others hear it
 /// from that one. The rest of the bound is left for the look, for the news and
 /// for those whose own look was lost.
-const LOOK_PARTS: std::ops::Range<f64> = 0.4..0.6;
+const PROBE_PARTS: std::ops::Range<f64> = 0.4..0.6;
 
 /// Pause between looks at whether holders still tell of settings, in ms.
-const TOLD_LOOK_MS: u64 = 100;
+const HOLDER_POLL_MS: u64 = 100;
 
 /// Pause after a first failed call, in ms: a call that was lost by itself is
 /// soon made again.
@@ -48,37 +48,37 @@
 /// as much longer as there are more of them, so that a store that is away is
 /// asked as often as by these few, some 25 times a second, and its return is
 /// noticed as soon: whoever reads it first tells the others.
-const PAUSE_MS: u64 = 600;
+const FEW_PAUSE_MS: u64 = 600;
 
 /// Daemons that may ask a store that is away without mercy.
-const ASKERS: usize = 16;
+const FEW_DAEMONS: usize = 16;
 
 /// Longest pause in any fleet, in ms: a daemon that is turned away while its
 /// peers are not gets rows from them, but those may be lost too.
-const LONGEST_PAUSE_MS: u64 = 3_000;
+const MAX_PAUSE_MS: u64 = 3_000;
 
 /// Starts both duties.
 pub(crate) fn spawn(node: &Arc<Node>) {
-    tokio::spawn(settings(node.clone()));
-    tokio::spawn(targets::targets(node.clone()));
+    tokio::spawn(follow_settings(node.clone()));
+    tokio::spawn(targets::follow_targets(node.clone()));
 }
 
-async fn settings(node: Arc<Node>) {
+async fn follow_settings(node: Arc<Node>) {
     let mut after: Option<u64> = None;
-    let mut link = Link::new("settings");
+    let mut link = StoreLink::new("settings");
     loop {
         let began = node.now();
         let told = match after {
             None => read(&node).await,
             // A call that waits would not tell a silent store from a quiet one.
-            Some(version) if link.down => look(&node, version).await,
+            Some(version) if link.down => probe(&node, version).await,
             Some(version) => {
-                await_untold(&node).await;
+                await_stale(&node).await;
                 feed(&node, version).await
             }
         };
         let (answer, times) = match told {
-            Ok(Told { facts, times }) => (Ok(facts), times),
+            Ok(StoreAnswer { facts, times }) => (Ok(facts), times),
             Err(e) => (Err(e), Times::now(&node)),
         };
         link.note(&node, &answer, began);
@@ -93,7 +93,7 @@
                     .book
                     .settings_sync
                     .store_said(covers, times.as_of);
-                settle(&node);
+                start_if_synced(&node);
             }
             Err(SourceError::Forgotten) => after = None,
             Err(SourceError::Unavailable(_)) => {
@@ -106,7 +106,7 @@
 }
 
 /// An answer about settings with its times.
-struct Told {
+struct StoreAnswer {
     facts: Facts,
     times: Times,
 }
@@ -128,37 +128,37 @@
 }
 
 /// All settings.
-async fn read(node: &Node) -> Result<Told, SourceError> {
+async fn read(node: &Node) -> Result<StoreAnswer, SourceError> {
     let times = Times::now(node);
     let rest = node.source.read(Topic::Settings).await?;
-    let facts = arrival(node, rest).await?;
-    Ok(Told { facts, times })
+    let facts = receive(node, rest).await?;
+    Ok(StoreAnswer { facts, times })
 }
 
 /// What changed after `version`, as the store has it now.
-async fn look(node: &Node, version: u64) -> Result<Told, SourceError> {
+async fn probe(node: &Node, version: u64) -> Result<StoreAnswer, SourceError> {
     let times = Times::now(node);
     let source = &node.source;
     let answer = source.changes(Topic::Settings, version, Duration::ZERO);
-    let facts = arrival(node, answer.await?).await?;
-    Ok(Told { facts, times })
+    let facts = receive(node, answer.await?).await?;
+    Ok(StoreAnswer { facts, times })
 }
 
 /// The rest of an answer that has begun to come.
-async fn arrival(node: &Node, rest: Arriving) -> Result<Facts, SourceError> {
+async fn receive(node: &Node, rest: Arriving) -> Result<Facts, SourceError> {
     node.view().book.settings_sync.store_began();
     rest.await
 }
 
 /// The rest of a feed call that began at `began` and waited up to `wait`.
-async fn arrive(
+async fn receive_feed(
     node: &Node,
     began: u64,
     wait: Duration,
     rest: Arriving,
-) -> Result<Told, SourceError> {
+) -> Result<StoreAnswer, SourceError> {
     let asked = node.now();
-    let facts = arrival(node, rest).await?;
+    let facts = receive(node, rest).await?;
     let waited = began + wait.as_millis() as u64;
     // Without changes it is made at the end of its wait.
     let as_of = match facts.rows.is_empty() && asked >= waited {
@@ -166,7 +166,7 @@
         false => began,
     };
     let times = Times { asked, as_of };
-    Ok(Told { facts, times })
+    Ok(StoreAnswer { facts, times })
 }
 
 /// Waits for what changes after `version`; looks in between whether the store
@@ -175,7 +175,7 @@
 /// What goes wrong without the looks: the store falls silent within a feed call
 /// and comes back, changes are made, and no daemon hears of them before the call
 /// has waited out its time.
-async fn feed(node: &Node, version: u64) -> Result<Told, SourceError> {
+async fn feed(node: &Node, version: u64) -> Result<StoreAnswer, SourceError> {
     let (wait, began) = (feed_wait(node), node.now());
     let feed = node.source.changes(Topic::Settings, version, wait);
     tokio::pin!(feed);
@@ -183,10 +183,10 @@
         tokio::select! {
             // Once the answer has begun it is a matter of the link's speed: a look
             // would fetch the same again beside it.
-            answer = &mut feed => return arrive(node, began, wait, answer?).await,
+            answer = &mut feed => return receive_feed(node, began, wait, answer?).await,
             () = await_unconfirmed(node) => {}
         }
-        let found = look(node, version).await?;
+        let found = probe(node, version).await?;
         if !found.facts.rows.is_empty() {
             return Ok(found);
         }
@@ -199,7 +199,7 @@
 /// bound.
 async fn await_unconfirmed(node: &Node) {
     let bound = node.settings().bounds.apply_ms as f64;
-    let due = (bound * rand::rng().random_range(LOOK_PARTS)) as u64;
+    let due = (bound * rand::rng().random_range(PROBE_PARTS)) as u64;
     loop {
         let age = node.view().book.settings_sync.age(node.now());
         if age >= due {
@@ -210,13 +210,13 @@
 }
 
 /// Whether this daemon holds a lease.
-fn holding(node: &Node) -> bool {
+fn holds_lease(node: &Node) -> bool {
     node.leases.holds_any(node.settings().bounds.fencing)
 }
 
 /// How long a feed call may wait for a change.
 fn feed_wait(node: &Node) -> Duration {
-    if node.fleet.is_large() && holding(node) {
+    if node.fleet.is_large() && holds_lease(node) {
         return Duration::from_millis(node.settings().bounds.apply_ms / PARTS_PER_APPLY);
     }
     FEED_WAIT
@@ -224,17 +224,17 @@
 
 /// In a large fleet, waits for as long as what is known of the settings is
 /// young enough, and nobody tells of anything newer.
-async fn await_untold(node: &Node) {
+async fn await_stale(node: &Node) {
     loop {
         if node.view().book.settings_sync.heard().is_some() {
             return;
         }
         let most = 2 * node.settings().bounds.apply_ms / PARTS_PER_APPLY;
         let age = node.view().book.settings_sync.age(node.now());
-        if !node.fleet.is_large() || holding(node) || age > most {
+        if !node.fleet.is_large() || holds_lease(node) || age > most {
             return;
         }
-        tokio::time::sleep(Duration::from_millis(TOLD_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(HOLDER_POLL_MS)).await;
     }
 }
 
@@ -246,8 +246,8 @@
 /// calls, all refused.
 fn pause_ms(failures: u32, daemons: usize, draw: u64) -> u64 {
     let grown = RETRY_MS << failures.saturating_sub(1).min(5);
-    let most = PAUSE_MS * daemons.max(ASKERS) as u64 / ASKERS as u64;
-    let pause = grown.min(most).min(LONGEST_PAUSE_MS);
+    let most = FEW_PAUSE_MS * daemons.max(FEW_DAEMONS) as u64 / FEW_DAEMONS as u64;
+    let pause = grown.min(most).min(MAX_PAUSE_MS);
     pause / 2 + draw % pause
 }
 
@@ -259,14 +259,14 @@
 }
 
 /// Whether the store answers for one topic; tells when that changes.
-struct Link {
+struct StoreLink {
     topic: &'static str,
     down: bool,
     /// Calls in a row that have failed.
     failures: u32,
 }
 
-impl Link {
+impl StoreLink {
     fn new(topic: &'static str) -> Self {
         Self {
             topic,
@@ -305,7 +305,7 @@
 }
 
 /// Begins to serve once a configuration and some target are known.
-pub(crate) fn settle(node: &Node) {
+pub(crate) fn start_if_synced(node: &Node) {
     let known = {
         let view = node.view();
         view.config.is_some() && !view.targets.is_empty()
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -14,7 +14,7 @@
 
 use rand::Rng;
 
-use super::{Link, settle};
+use super::{StoreLink, start_if_synced};
 use crate::{
     facts::{self, Provenance},
     node::Node,
@@ -31,18 +31,18 @@
 /// targets itself, and half a part more at most: holders read first, and what
 /// they read is a part and a report of the fleet old when it comes. At two to
 /// three parts 195 daemons read 31 times a second.
-const SERVED_PARTS: f64 = 2.5;
+const REPORTING_PARTS: f64 = 2.5;
 
 /// Pause between looks at how old the knowledge is, in ms.
-const AGE_LOOK_MS: u64 = 50;
+const AGE_POLL_MS: u64 = 50;
 
 /// Reads further apart than this many beats are an outage of the store.
-const OUTAGE_BEATS: u64 = 3;
+const OUTAGE_PERIODS: u64 = 3;
 
 /// Reads the targets when what is known of them is old.
-pub(super) async fn targets(node: Arc<Node>) {
+pub(super) async fn follow_targets(node: Arc<Node>) {
     let mut away = Outage::default();
-    let mut link = Link::new("targets");
+    let mut link = StoreLink::new("targets");
     loop {
         let beat = node.settings().bounds.drain_ms / PARTS_PER_DRAIN;
         await_age(&node, due_ms(&node, beat)).await;
@@ -53,7 +53,7 @@
         };
         link.note(&node, &answer, began);
         match answer {
-            Ok(listed) => take(&node, &mut away, listed, began, 2 * beat),
+            Ok(listed) => apply_listing(&node, &mut away, listed, began, 2 * beat),
             Err(_) => link.pause(&node).await,
         }
     }
@@ -64,7 +64,7 @@
     let half = (beat / 2).max(1);
     let drawn = rand::rng().random_range(0..half);
     if node.fleet.reports_to_holders(node) {
-        return (SERVED_PARTS * beat as f64) as u64 + drawn;
+        return (REPORTING_PARTS * beat as f64) as u64 + drawn;
     }
     match node.fleet.is_large() {
         // What a holder reads is old when the others hear of it.
@@ -76,11 +76,11 @@
 /// Waits until what is known of the targets is `due` ms old.
 async fn await_age(node: &Node, due: u64) {
     loop {
-        let as_of = node.view().book.targets.as_of;
+        let as_of = node.view().book.targets.as_of_ms;
         if as_of == 0 || node.now().saturating_sub(as_of) >= due {
             return;
         }
-        tokio::time::sleep(Duration::from_millis(AGE_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(AGE_POLL_MS)).await;
     }
 }
 
@@ -88,29 +88,29 @@
 #[derive(Debug, Default)]
 struct Outage {
     /// When it answered again; 0 if it never was away.
-    over: u64,
+    ended_at_ms: u64,
 }
 
-fn take(node: &Node, away: &mut Outage, listed: Facts, began: u64, beat: u64) {
+fn apply_listing(node: &Node, away: &mut Outage, listed: Facts, began: u64, beat: u64) {
     let now = node.now();
     let last = {
         let mut view = node.view();
         let targets = &mut view.book.targets;
         // What a peer heard meanwhile may be newer than this answer.
-        let last = targets.as_of;
-        targets.as_of = last.max(began);
+        let last = targets.as_of_ms;
+        targets.as_of_ms = last.max(began);
         last
     };
-    if last > 0 && now.saturating_sub(last) > OUTAGE_BEATS * beat {
-        away.over = now;
+    if last > 0 && now.saturating_sub(last) > OUTAGE_PERIODS * beat {
+        away.ended_at_ms = now;
     }
     let origin = Provenance::store(began);
     facts::apply(node, Topic::Targets, listed.clone(), &origin);
     let back = (node.settings().bounds.return_s * 1_000.0) as u64;
-    if away.over == 0 || now.saturating_sub(away.over) >= back {
-        facts::sweep(node, &listed);
+    if away.ended_at_ms == 0 || now.saturating_sub(away.ended_at_ms) >= back {
+        facts::remove_unlisted(node, &listed);
     }
     let targets: Vec<_> = node.view().targets.values().cloned().collect();
     node.backend.retain(&targets);
-    settle(node);
+    start_if_synced(node);
 }
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -19,10 +19,10 @@
 use crate::{clock, fleet, node::Node};
 
 /// Renewals and looks within one lease.
-const STEPS: u32 = 4;
+const STEPS_PER_TERM: u32 = 4;
 
 /// Longest one step may take, as part of the lease.
-const STEP_PART: u32 = 3;
+const STEP_TIMEOUT_DIVISOR: u32 = 3;
 
 /// Terms without a holder after which any daemon takes a lease: those better
 /// placed for it had time for a takeover by then.
@@ -31,7 +31,7 @@
 /// Fencing tokens of orders for each token of the lease: a holder that stops
 /// while the store is away hands the group on under the next one, and whoever
 /// takes the lease from the store afterwards still has a higher one.
-const STRIDE: u64 = 1_000;
+const TOKEN_STRIDE: u64 = 1_000;
 
 /// A lease without its way to the store.
 pub(crate) trait HeldLease: Send + Sync {
@@ -54,11 +54,11 @@
 pub(crate) struct Leases {
     held: Mutex<Map<Name, Arc<dyn HeldLease>>>,
     /// Tokens that stopping holders handed to this daemon, by group.
-    ceded: Mutex<Map<Name, u64>>,
+    handed_over: Mutex<Map<Name, u64>>,
     /// Highest token of another holder by group, as told by engines and peers.
-    beaten: Mutex<Map<Name, u64>>,
+    highest_seen: Mutex<Map<Name, u64>>,
     /// Since when no holder is known, by group.
-    vacant: Mutex<Map<Name, u64>>,
+    vacant_since_ms: Mutex<Map<Name, u64>>,
 }
 
 impl Leases {
@@ -78,12 +78,18 @@
         let current = lease.as_ref().and_then(|l| l.token(clock::instant()));
         let lapsed = lease.and_then(|l| l.expired_token().filter(|_| fencing));
         let ceded = {
-            let ceded = self.ceded.lock().expect("no holder of this lock panics");
+            let ceded = self
+                .handed_over
+                .lock()
+                .expect("no holder of this lock panics");
             ceded.get(group).copied().filter(|_| fencing)
         };
-        let own = current.or(lapsed).map(|t| t * STRIDE);
+        let own = current.or(lapsed).map(|t| t * TOKEN_STRIDE);
         let token = own.max(ceded)?;
-        let beaten = self.beaten.lock().expect("no holder of this lock panics");
+        let beaten = self
+            .highest_seen
+            .lock()
+            .expect("no holder of this lock panics");
         let highest = beaten.get(group).copied().unwrap_or(0);
         (token > highest).then_some(token)
     }
@@ -103,7 +109,10 @@
 
     /// Goes on with `group` under `token` for a holder that stopped.
     pub(crate) fn accept_handover(&self, group: &str, token: u64) {
-        let mut ceded = self.ceded.lock().expect("no holder of this lock panics");
+        let mut ceded = self
+            .handed_over
+            .lock()
+            .expect("no holder of this lock panics");
         let known = ceded.entry(group.into()).or_default();
         *known = token.max(*known);
     }
@@ -112,7 +121,10 @@
     pub(crate) fn held(&self, fencing: bool) -> Vec<(Name, u64)> {
         let groups: Vec<Name> = {
             let held = self.held.lock().expect("no holder of this lock panics");
-            let ceded = self.ceded.lock().expect("no holder of this lock panics");
+            let ceded = self
+                .handed_over
+                .lock()
+                .expect("no holder of this lock panics");
             let mut groups: Vec<Name> = held.keys().chain(ceded.keys()).cloned().collect();
             groups.sort();
             groups.dedup();
@@ -126,7 +138,10 @@
 
     /// For how long no holder of `group` has been known, in ms.
     fn vacant_ms(&self, group: &str, held: bool, now: u64) -> u64 {
-        let mut vacant = self.vacant.lock().expect("no holder of this lock panics");
+        let mut vacant = self
+            .vacant_since_ms
+            .lock()
+            .expect("no holder of this lock panics");
         if held {
             vacant.remove(group);
             return 0;
@@ -142,7 +157,10 @@
 
     /// Another holder of `group` has `token`, or an engine refused it.
     pub(crate) fn observe_token(&self, group: &str, token: u64) {
-        let mut beaten = self.beaten.lock().expect("no holder of this lock panics");
+        let mut beaten = self
+            .highest_seen
+            .lock()
+            .expect("no holder of this lock panics");
         let highest = beaten.entry(group.into()).or_default();
         *highest = token.max(*highest);
     }
@@ -179,20 +197,20 @@
             () = node.life.reached(comfreyhall_life::Stage::Serving) => {}
             () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
         }
-        let former = former(&node, &rows).await;
+        let former = former_leases(&node, &rows).await;
         loop {
             let term = Duration::from_millis(node.settings().bounds.lease_ms);
             if node.leaving() {
-                let kept = release(&leases, term).await;
-                hand_on(&node, &kept).await;
+                let kept = release_all(&leases, term).await;
+                hand_over_groups(&node, &kept).await;
                 return;
             }
             for group in groups(&node) {
                 match leases.get(&group) {
-                    Some(lease) if spares(&node, &group) => {
-                        give_back(&node, &group, lease, term).await
+                    Some(lease) if yields_group(&node, &group) => {
+                        release_group(&node, &group, lease, term).await
                     }
-                    Some(lease) => step(&node, &group, lease, term).await,
+                    Some(lease) => run_step(&node, &group, lease, term).await,
                     None => {
                         let id = node.settings().id.clone();
                         let lease = Arc::new(Lease::new(rows.clone(), &group, id, term));
@@ -200,13 +218,13 @@
                         if former.contains(&*group) {
                             reclaim(&node, &group, &lease, term).await;
                         }
-                        step(&node, &group, &lease, term).await;
+                        run_step(&node, &group, &lease, term).await;
                         leases.insert(group, lease);
                     }
                 }
             }
             tokio::select! {
-                () = tokio::time::sleep(term / STEPS) => {}
+                () = tokio::time::sleep(term / STEPS_PER_TERM) => {}
                 () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
             }
         }
@@ -221,12 +239,12 @@
 }
 
 /// Leases that this instance held before it started again.
-async fn former<R: Rows>(node: &Node, rows: &R) -> Set<String> {
+async fn former_leases<R: Rows>(node: &Node, rows: &R) -> Set<String> {
     let settings = node.settings();
     if settings.first_start {
         return Set::default();
     }
-    let limit = Duration::from_millis(settings.bounds.lease_ms) / STEP_PART;
+    let limit = Duration::from_millis(settings.bounds.lease_ms) / STEP_TIMEOUT_DIVISOR;
     let why =
         match tokio::time::timeout(limit, comfreyhall_lease::held_by(rows, &settings.id)).await {
             Ok(Ok(names)) => return names.into_iter().collect(),
@@ -239,8 +257,8 @@
 
 /// Takes the lease at once, as it was this instance's before it started again.
 async fn reclaim<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
-    let call = tokio::time::timeout(term / STEP_PART, lease.reclaim(clock::instant));
-    noted(node, group, None, lease, call.await);
+    let call = tokio::time::timeout(term / STEP_TIMEOUT_DIVISOR, lease.reclaim(clock::instant));
+    record_step(node, group, None, lease, call.await);
 }
 
 /// Whether this daemon gives `group` up to one that is better placed.
@@ -248,7 +266,7 @@
 /// What goes wrong without it: a daemon takes a second group while nobody of
 /// its domain is ready, and keeps it: it answers for twice as many engines,
 /// and its loads waited twice as long for the weight store.
-fn spares(node: &Node, group: &Name) -> bool {
+fn yields_group(node: &Node, group: &Name) -> bool {
     let fencing = node.settings().bounds.fencing;
     let now = node.now();
     node.token(group).is_some()
@@ -260,8 +278,8 @@
 }
 
 /// Gives `group` back for whoever is better placed.
-async fn give_back<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
-    let call = tokio::time::timeout(term / STEP_PART, lease.release());
+async fn release_group<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
+    let call = tokio::time::timeout(term / STEP_TIMEOUT_DIVISOR, lease.release());
     match call.await {
         Ok(Ok(())) => {
             log::info!(target: "leases", group:% = group; "lease left to a daemon that is better placed");
@@ -283,7 +301,7 @@
 /// Those as well placed take turns, one more at each step: if all asked at
 /// once, an outage of the store in a fleet of 90 cost 360 calls a second for
 /// leases that nobody could take.
-fn patience_ms(node: &Node, group: &Name, term_ms: u64) -> u64 {
+fn acquire_delay_ms(node: &Node, group: &Name, term_ms: u64) -> u64 {
     let ahead = node.fleet.precedence(group, node.now());
     // What goes wrong without the last: the first of 195 daemons to be ready
     // knows of no other yet, and took the leases of four domains out of five.
@@ -293,27 +311,30 @@
         (false, true) => term_ms,
         (false, false) => 0,
     };
-    class + ahead.equals * term_ms / u64::from(STEPS)
+    class + ahead.equals * term_ms / u64::from(STEPS_PER_TERM)
 }
 
-async fn step<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
+async fn run_step<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
     let before = lease.token(clock::instant());
     let now = node.now();
     let held = before.is_some() || node.fleet.holder(group, now).is_some();
     let vacant = node.leases.vacant_ms(group, held, now);
-    let patience = patience_ms(node, group, term.as_millis() as u64);
+    let patience = acquire_delay_ms(node, group, term.as_millis() as u64);
     let want = node.ready() && vacant >= patience;
     // A holder that was heard from lately needs no look at the store, and
     // whoever leaves the lease to others has none to take.
     if before.is_none() && (held || !want) {
         return;
     }
-    let call = tokio::time::timeout(term / STEP_PART, lease.step(clock::instant, want));
-    noted(node, group, before, lease, call.await);
+    let call = tokio::time::timeout(
+        term / STEP_TIMEOUT_DIVISOR,
+        lease.step(clock::instant, want),
+    );
+    record_step(node, group, before, lease, call.await);
 }
 
 /// Notes how a step ended; `before`: the token held until then.
-fn noted<R: Rows>(
+fn record_step<R: Rows>(
     node: &Arc<Node>,
     group: &Name,
     before: Option<u64>,
@@ -339,11 +360,11 @@
 }
 
 /// Gives the leases back; returns the groups for which that failed.
-async fn release<R: Rows>(leases: &Map<Name, Arc<Lease<R>>>, term: Duration) -> Vec<Name> {
+async fn release_all<R: Rows>(leases: &Map<Name, Arc<Lease<R>>>, term: Duration) -> Vec<Name> {
     let mut kept = Vec::new();
     let ours = leases.iter().filter(|(_, l)| l.lapsed_token().is_some());
     for (group, lease) in ours {
-        let call = tokio::time::timeout(term / STEP_PART, lease.release());
+        let call = tokio::time::timeout(term / STEP_TIMEOUT_DIVISOR, lease.release());
         let why = match call.await {
             Ok(Ok(())) => {
                 log::info!(target: "leases", group:% = group; "lease given back");
@@ -359,7 +380,7 @@
 }
 
 /// Names a successor for each group that is still held.
-async fn hand_on(node: &Arc<Node>, kept: &[Name]) {
+async fn hand_over_groups(node: &Arc<Node>, kept: &[Name]) {
     let fencing = node.settings().bounds.fencing;
     for group in kept {
         let now = node.now();
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -20,21 +20,21 @@
 const PERIOD_MS: u64 = 20_000;
 
 /// Daemons that ask the store at once who there is, of many that do not know.
-const ASKERS: usize = 4;
+const INITIAL_LISTERS: usize = 4;
 
 /// Daemons for which one listing in a period will do.
-const LISTED_BY: usize = 16;
+const LISTING_UNIT: usize = 16;
 
 /// Pause between looks at whether a listing is due, and at least after a
 /// failed call.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL: Duration = Duration::from_millis(500);
 
 /// Starts the duty.
 pub(crate) fn spawn<R: Rows>(node: &Arc<Node>, rows: R) {
-    tokio::spawn(keep(node.clone(), rows));
+    tokio::spawn(run(node.clone(), rows));
 }
 
-async fn keep<R: Rows>(node: Arc<Node>, rows: R) {
+async fn run<R: Rows>(node: Arc<Node>, rows: R) {
     let key = format!("{PREFIX}{}", node.settings().listen.peers);
     let mut written = false;
     let mut listed = None;
@@ -44,10 +44,10 @@
         let now = node.now();
         // Whoever has met the others need not look for them right away.
         let met = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
-        let unsure = unsure(&node, now);
+        let unsure = needs_listing(&node, now);
         let due = listed.is_none_or(|at| now.saturating_sub(at) >= period_ms(&node));
         if !written {
-            match write(&node, &rows, &key).await {
+            match write_own_row(&node, &rows, &key).await {
                 Ok(()) => {
                     written = true;
                     failures = 0;
@@ -58,7 +58,7 @@
                 }
             }
         } else if unsure || (due && !met) {
-            match round(&node, &rows, &key).await {
+            match list_members(&node, &rows, &key).await {
                 Ok(()) => {
                     listed = Some(node.now());
                     failures = 0;
@@ -70,8 +70,8 @@
             }
         }
         let pause = match failures {
-            0 => LOOK,
-            _ => follow::pause(&node, failures).max(LOOK),
+            0 => POLL,
+            _ => follow::pause(&node, failures).max(POLL),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -85,24 +85,24 @@
 
 /// Whether this daemon should ask who there is, for the caps of workspaces. Some
 /// of those that start together ask, and the others hear it from them.
-fn unsure(node: &Node, now: u64) -> bool {
+fn needs_listing(node: &Node, now: u64) -> bool {
     let size = node.fleet.size(now);
     node.caps.in_use()
         && node.fleet.members(now).is_none()
-        && rand::rng().random_range(0..size) < ASKERS
+        && rand::rng().random_range(0..size) < INITIAL_LISTERS
 }
 
 fn period_ms(node: &Node) -> u64 {
-    let size = node.fleet.size(node.now()).max(LISTED_BY);
-    PERIOD_MS * size as u64 / LISTED_BY as u64
+    let size = node.fleet.size(node.now()).max(LISTING_UNIT);
+    PERIOD_MS * size as u64 / LISTING_UNIT as u64
 }
 
 /// Sees that the own row is there, meets the others, prunes lost ones.
-async fn round<R: Rows>(node: &Node, rows: &R, key: &str) -> Result<(), CatalogError> {
+async fn list_members<R: Rows>(node: &Node, rows: &R, key: &str) -> Result<(), CatalogError> {
     let found = rows.scan(PREFIX, "", 0).await?;
     if !found.iter().any(|row| row.key == key) {
         // Others took this daemon for lost while it was cut off.
-        write(node, rows, key).await?;
+        write_own_row(node, rows, key).await?;
     }
     let now = node.now();
     for row in found {
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-async fn write<R: Rows>(node: &Node, rows: &R, key: &str) -> Result<(), CatalogError> {
+async fn write_own_row<R: Rows>(node: &Node, rows: &R, key: &str) -> Result<(), CatalogError> {
     let id = node.settings().id.to_string();
     let entry = put(key, id.into_bytes());
     rows.commit(Vec::new(), vec![entry]).await.map(|_| ())
--- a/crates/comfreyhall-node/src/quarantine/confirm.rs
+++ b/crates/comfreyhall-node/src/quarantine/confirm.rs
@@ -11,19 +11,19 @@
 use comfreyhall_domain::Name;
 use comfreyhall_quarantine::Fingerprint;
 
-use super::{Node, QuarantineTracker, doubted, settle};
+use super::{Node, QuarantineTracker, is_unresolved, resolve};
 use crate::{outbound, ports::Pulse};
 
 /// Pauses before each look at the target, in ms: a process that ended refuses
 /// connections at once; a listener may outlive its process by some ms.
-const LOOKS_MS: [u64; 3] = [0, 60, 300];
+const PROBE_DELAYS_MS: [u64; 3] = [0, 60, 300];
 
 /// How long the entry of a silent target is waited to go, in ms: the platform
 /// removes it after some missed heartbeats.
-const GONE_MS: u64 = 5_000;
+const ENTRY_TIMEOUT_MS: u64 = 5_000;
 
 /// Pause between looks at the entry.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+const ENTRY_POLL: Duration = Duration::from_millis(200);
 
 /// Longest a suspect's next send waits to learn whether its last target has
 /// ended: a target that did is known within some ms.
@@ -33,11 +33,11 @@
 pub(super) async fn run(node: Arc<Node>, target: Name) {
     let ended = ended(&node, &target).await;
     log::debug!(target: "quarantine", target_id:% = target, ended; "target looked at");
-    settle(&node, &target, ended);
+    resolve(&node, &target, ended);
 }
 
 async fn ended(node: &Arc<Node>, target: &Name) -> bool {
-    for pause in LOOKS_MS {
+    for pause in PROBE_DELAYS_MS {
         tokio::time::sleep(Duration::from_millis(pause)).await;
         let Some(known) = node.view().targets.get(target).cloned() else {
             return true;
@@ -48,9 +48,9 @@
             Pulse::Silent => {}
         }
     }
-    let until = node.now() + GONE_MS;
+    let until = node.now() + ENTRY_TIMEOUT_MS;
     while node.now() < until {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(ENTRY_POLL).await;
         if !node.view().targets.contains_key(target) {
             return true;
         }
@@ -65,8 +65,8 @@
     pub(crate) async fn await_verdict(&self, node: &Node, fingerprint: &Fingerprint) {
         let settled = async {
             loop {
-                let notified = self.settled.notified();
-                if !doubted(node, fingerprint) {
+                let notified = self.resolved.notified();
+                if !is_unresolved(node, fingerprint) {
                     return;
                 }
                 notified.await;
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -27,7 +27,7 @@
 /// How long a target that was found to have ended is remembered, in ms: the
 /// connections of all its runs break within some ms, and each daemon's core may
 /// be busy for some hundred.
-const ENDED_MS: u64 = 10_000;
+const ENDED_TTL_MS: u64 = 10_000;
 
 /// What this daemon knows of requests that end targets.
 #[derive(Default)]
@@ -36,23 +36,23 @@
     /// Wakes the duty that tells the other daemons.
     found: Notify,
     /// Wakes requests that wait to learn whether their target has ended.
-    settled: Notify,
+    resolved: Notify,
 }
 
 #[derive(Default)]
 struct State {
     known: Quarantine,
     /// Requests whose connections these targets closed.
-    doubts: Map<Name, Map<Fingerprint, Doubt>>,
+    closed_runs: Map<Name, Map<Fingerprint, ClosedRun>>,
     /// Targets that have ended, and when that was found.
-    ended: Map<Name, u64>,
+    ended_targets: Map<Name, u64>,
     /// Requests that are being tried here.
     trials: Set<Fingerprint>,
 }
 
 /// A run whose connection its target closed.
 #[derive(Clone, Copy)]
-struct Doubt {
+struct ClosedRun {
     /// When, in ms.
     at: u64,
     /// Whether the target had just begun it.
@@ -137,22 +137,22 @@
     fingerprint: Fingerprint,
     early: bool,
 ) {
-    if !stays(node, target) {
+    if !is_staying(node, target) {
         return;
     }
     let now = node.now();
     let mut state = node.quarantine.state();
     state
-        .ended
-        .retain(|_, at| now.saturating_sub(*at) < ENDED_MS);
-    if state.ended.contains_key(target) {
+        .ended_targets
+        .retain(|_, at| now.saturating_sub(*at) < ENDED_TTL_MS);
+    if state.ended_targets.contains_key(target) {
         drop(state);
-        found(node, fingerprint, ended(target, early), now);
+        record_finding(node, fingerprint, ended_finding(target, early), now);
         return;
     }
-    let first = !state.doubts.contains_key(target);
-    let doubts = state.doubts.entry(target.clone()).or_default();
-    doubts.insert(fingerprint, Doubt { at: now, early });
+    let first = !state.closed_runs.contains_key(target);
+    let doubts = state.closed_runs.entry(target.clone()).or_default();
+    doubts.insert(fingerprint, ClosedRun { at: now, early });
     drop(state);
     if first {
         tokio::spawn(confirm::run(node.clone(), target.clone()));
@@ -161,7 +161,7 @@
 
 /// Whether `target` is to stay: one that leaves ends whatever it runs, and its
 /// entry may go before it does. One that crashes is listed for some seconds.
-fn stays(node: &Node, target: &Name) -> bool {
+fn is_staying(node: &Node, target: &Name) -> bool {
     if outbound::leaves(node, target) {
         return false;
     }
@@ -173,36 +173,41 @@
 /// A target ran `fingerprint` to its end.
 pub(crate) fn run_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     if node.quarantine.is_suspect(&fingerprint) {
-        found(node, fingerprint, Finding::RanWhole, node.now());
+        record_finding(node, fingerprint, Finding::RanWhole, node.now());
     }
 }
 
 /// Whether it is still open if a target that closed a connection of
 /// `fingerprint` has ended.
-fn doubted(node: &Node, fingerprint: &Fingerprint) -> bool {
+fn is_unresolved(node: &Node, fingerprint: &Fingerprint) -> bool {
     let state = node.quarantine.state();
-    let mut doubts = state.doubts.values();
+    let mut doubts = state.closed_runs.values();
     doubts.any(|of_target| of_target.contains_key(fingerprint))
 }
 
 /// The doubts about `target` are settled.
-fn settle(node: &Arc<Node>, target: &Name, has_ended: bool) {
+fn resolve(node: &Arc<Node>, target: &Name, has_ended: bool) {
     let now = node.now();
     let mut state = node.quarantine.state();
-    let doubts = state.doubts.remove(target).unwrap_or_default();
+    let doubts = state.closed_runs.remove(target).unwrap_or_default();
     if has_ended {
-        state.ended.insert(target.clone(), now);
+        state.ended_targets.insert(target.clone(), now);
     }
     drop(state);
     if has_ended {
         for (fingerprint, doubt) in doubts {
-            found(node, fingerprint, ended(target, doubt.early), doubt.at);
+            record_finding(
+                node,
+                fingerprint,
+                ended_finding(target, doubt.early),
+                doubt.at,
+            );
         }
     }
-    node.quarantine.settled.notify_waiters();
+    node.quarantine.resolved.notify_waiters();
 }
 
-fn ended(target: &Name, early: bool) -> Finding {
+fn ended_finding(target: &Name, early: bool) -> Finding {
     Finding::Ended {
         target: target.clone(),
         early,
@@ -213,7 +218,7 @@
 ///
 /// What goes wrong if an end counts from when it was looked at: the request
 /// runs whole in between, and is a suspect again for what was before.
-fn found(node: &Arc<Node>, fingerprint: Fingerprint, finding: Finding, at: u64) {
+fn record_finding(node: &Arc<Node>, fingerprint: Fingerprint, finding: Finding, at: u64) {
     let evidence = Evidence {
         fingerprint,
         finding,
@@ -239,7 +244,7 @@
     {
         // A boot that has ended takes nothing any more; without this every
         // daemon finds out by itself until the entry goes.
-        node.view().dead.insert(target, now + ENDED_MS);
+        node.view().dead.insert(target, now + ENDED_TTL_MS);
     }
     new
 }
--- a/crates/comfreyhall-node/src/quarantine/spread.rs
+++ b/crates/comfreyhall-node/src/quarantine/spread.rs
@@ -9,7 +9,7 @@
 use crate::fleet;
 
 /// Pause that gathers the findings of one crash into one call.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Least pause between two rounds of calls: under a series of crashes the cost
 /// of telling stays bounded.
@@ -20,7 +20,7 @@
 
 /// Starts the duties.
 pub(crate) fn spawn(node: &Arc<Node>) {
-    tokio::spawn(tell(node.clone()));
+    tokio::spawn(spread_findings(node.clone()));
     let node = node.clone();
     tokio::spawn(async move {
         loop {
@@ -30,10 +30,10 @@
     });
 }
 
-async fn tell(node: Arc<Node>) {
+async fn spread_findings(node: Arc<Node>) {
     loop {
         node.quarantine.found.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         fleet::notify_findings(&node);
         tokio::time::sleep(ROUND_PAUSE).await;
     }
--- a/crates/comfreyhall-node/src/stop.rs
+++ b/crates/comfreyhall-node/src/stop.rs
@@ -16,10 +16,10 @@
 const LINGER: Duration = Duration::from_millis(2_500);
 
 /// Part of the bound after which what still runs is left behind.
-const LAST_PART: f64 = 0.93;
+const GRACE_FRACTION: f64 = 0.93;
 
 /// Pause between looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL: Duration = Duration::from_millis(50);
 
 /// Whether a stopping daemon still takes a request that may last until
 /// `limit`.
@@ -36,12 +36,12 @@
     if began == 0 || node.now().saturating_sub(began) < LINGER.as_millis() as u64 {
         return true;
     }
-    limit < began + last_ms(node)
+    limit < began + grace_ms(node)
 }
 
 /// Ms after the signal at which the process ends at the latest.
-fn last_ms(node: &Node) -> u64 {
-    (node.settings().bounds.grace_s * 1_000.0 * LAST_PART) as u64
+fn grace_ms(node: &Node) -> u64 {
+    (node.settings().bounds.grace_s * 1_000.0 * GRACE_FRACTION) as u64
 }
 
 /// Leaves: returns once nothing is in progress or time is up.
@@ -56,21 +56,21 @@
     fleet::notify_all(node).await;
     tokio::time::sleep(LINGER).await;
     close_idle();
-    drained(node, began).await;
+    await_idle(node, began).await;
     // What goes wrong without it: nothing is in progress, the process is
     // about to end, and a request that comes in that instant is passed on
     // and cut. From here on everything is refused.
     node.close();
-    drained(node, began).await;
+    await_idle(node, began).await;
     // The last answers are still on their way to their callers.
-    tokio::time::sleep(LOOK * 4).await;
+    tokio::time::sleep(POLL * 4).await;
     node.life.handle(Event::Drained);
     log::info!(target: "stop", in_flight = node.in_flight(); "stopped");
 }
 
 /// Waits until nothing is in progress, at most until the bound.
-async fn drained(node: &Node, began: u64) {
-    while node.in_flight() > 0 && node.now().saturating_sub(began) < last_ms(node) {
-        tokio::time::sleep(LOOK).await;
+async fn await_idle(node: &Node, began: u64) {
+    while node.in_flight() > 0 && node.now().saturating_sub(began) < grace_ms(node) {
+        tokio::time::sleep(POLL).await;
     }
 }
