--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use comfreyhall_domain::{Engine, Name};
+use comfreyhall_domain::{EngineConfig, Name};
 use comfreyhall_routing::admission;
 
 use super::{Bind, Bound, Unbound};
@@ -28,7 +28,7 @@
     let plan = choose(node, &ask, &engine);
     let plan = plan.ok_or_else(|| Unbound::unplaced("no engine of the group can take it"))?;
     let first = ask.tried.is_empty() && node.policies().admission;
-    if first && admission::refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
+    if first && admission::should_refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
         return Err(Unbound::TooLong(plan.wait_ms as u64));
     }
     if !plan.loads {
@@ -43,7 +43,7 @@
     bound(node, &ask, &placed.target, placed.version, 0.0)
 }
 
-fn engine_of(node: &Node, service: &Name) -> Option<Engine> {
+fn engine_of(node: &Node, service: &Name) -> Option<EngineConfig> {
     let config = node.config()?;
     config.services.get(service)?.engine.clone()
 }
@@ -56,12 +56,12 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.asked(&adapter_key(adapter), groups, now) {
-        view.heat(adapter, now);
+    if view.count_bind(&adapter_key(adapter), groups, now) {
+        view.mark_hot(adapter, now);
     }
 }
 
-fn choose(node: &Node, ask: &Bind, engine: &Engine) -> Option<Plan> {
+fn choose(node: &Node, ask: &Bind, engine: &EngineConfig) -> Option<Plan> {
     let wish = Wish {
         need: &ask.need,
         aim_ms: ask.aim_ms,
@@ -91,7 +91,7 @@
     let mut view = node.view();
     let unread = choose::unread(&view, &ask.need, target);
     if let Some(adapter) = &ask.need.adapter {
-        view.prefixes.note(adapter, &ask.need.parts, target, now);
+        view.prefixes.record(adapter, &ask.need.parts, target, now);
     }
     let hot = ask.need.adapter.as_ref();
     let hot = hot.is_some_and(|a| view.is_hot(a, now));
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use comfreyhall_protocol::{CapCall, CapLine, CapReply, CapSettled, CapsOf};
-use comfreyhall_workspace::{Call, Line, Reply, Settled};
+use comfreyhall_workspace::{GrantLine, SettleReply, SettleRequest, UsageLine};
 
 use super::QuotaKind;
 use crate::{node::Node, outbound};
@@ -17,15 +17,15 @@
 
 /// A call about caps `of` workspaces or targets. One about targets bears what
 /// they told this daemon.
-pub(super) fn call(node: &Node, of: QuotaKind, call: &Call) -> CapCall {
+pub(super) fn call(node: &Node, of: QuotaKind, call: &SettleRequest) -> CapCall {
     let lines = call.lines.iter().map(|l| CapLine {
         workspace: l.workspace.clone(),
-        held: l.held,
+        held: l.balance,
         reserved: l.reserved,
         returned: l.returned,
         need: l.need,
-        least: l.least,
-        want: l.want,
+        least: l.min_need,
+        want: l.prefetch,
         demand: l.demand,
     });
     CapCall {
@@ -44,23 +44,23 @@
         .into(),
         words: match of {
             QuotaKind::Workspaces => Vec::new(),
-            QuotaKind::Targets => outbound::own_words(node, &call.group),
+            QuotaKind::Targets => outbound::own_notices(node, &call.group),
         },
     }
 }
 
-fn from_call(call: CapCall) -> Call {
-    let lines = call.lines.into_iter().map(|l| Line {
+fn from_call(call: CapCall) -> SettleRequest {
+    let lines = call.lines.into_iter().map(|l| UsageLine {
         workspace: l.workspace,
-        held: valid_units(l.held),
+        balance: valid_units(l.held),
         reserved: valid_units(l.reserved),
         returned: valid_units(l.returned),
         need: valid_units(l.need),
-        least: valid_units(l.least),
-        want: valid_units(l.want),
+        min_need: valid_units(l.least),
+        prefetch: valid_units(l.want),
         demand: valid_units(l.demand),
     });
-    Call {
+    SettleRequest {
         from: call.from,
         boot: call.boot,
         serial: call.serial,
@@ -77,39 +77,39 @@
     if told.is_finite() { told.max(0.0) } else { 0.0 }
 }
 
-fn reply(node: &Node, of: QuotaKind, group: &str, reply: Reply) -> CapReply {
+fn reply(node: &Node, of: QuotaKind, group: &str, reply: SettleReply) -> CapReply {
     let lines = reply.lines.into_iter().map(|l| CapSettled {
         workspace: l.workspace,
         grant: l.grant,
         retry_ms: l.retry_ms,
-        others: l.others,
+        others: l.other_demand,
         lent: l.lent,
     });
     CapReply {
         boot: reply.boot,
-        clock: reply.clock,
-        part: reply.part,
+        clock: reply.clock_ms,
+        part: reply.lendable_share,
         lines: lines.collect(),
         words: match of {
             QuotaKind::Workspaces => Vec::new(),
-            QuotaKind::Targets => outbound::words(node, group),
+            QuotaKind::Targets => outbound::notices(node, group),
         },
     }
 }
 
-pub(super) fn from_reply(node: &Node, reply: CapReply) -> Reply {
-    outbound::learn(node, &reply.words, "home");
-    let lines = reply.lines.into_iter().map(|l| Settled {
+pub(super) fn from_reply(node: &Node, reply: CapReply) -> SettleReply {
+    outbound::merge_notices(node, &reply.words, "home");
+    let lines = reply.lines.into_iter().map(|l| GrantLine {
         workspace: l.workspace,
         grant: valid_units(l.grant),
         retry_ms: l.retry_ms,
-        others: valid_units(l.others),
+        other_demand: valid_units(l.others),
         lent: valid_units(l.lent),
     });
-    Reply {
+    SettleReply {
         boot: reply.boot,
-        clock: reply.clock,
-        part: valid_units(reply.part),
+        clock_ms: reply.clock,
+        lendable_share: valid_units(reply.part),
         lines: lines.collect(),
     }
 }
@@ -117,17 +117,17 @@
 /// Answers another daemon that settles here.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
     let of = kind_from_wire(message.of());
-    outbound::learn(node, &message.words, &message.from);
+    outbound::merge_notices(node, &message.words, &message.from);
     super::refresh(node, of);
     let call = from_call(message);
     let now = node.now();
     let met = node.fleet.known_since_ms(&call.from).unwrap_or(now);
-    let answered = match &mut node.caps_of(of).state().meter {
-        Some(meter) => meter.answer(&call, met, now),
-        None => Reply {
+    let answered = match &mut node.quotas_of(of).state().meter {
+        Some(meter) => meter.handle_settle(&call, met, now),
+        None => SettleReply {
             boot: node.fleet.boot(),
-            clock: now,
-            ..Reply::default()
+            clock_ms: now,
+            ..SettleReply::default()
         },
     };
     reply(node, of, &call.group, answered)
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -1,29 +1,32 @@
 use bytes::Bytes;
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::apply;
 use crate::{
     node::Node,
-    ports::{Fact, Facts, Topic},
-    quiet::node,
+    ports::{Record, RecordBatch, Topic},
+    test_node::node,
 };
 
 fn put(node: &Node, key: &str, value: &'static str, version: u64) {
-    let fact = Fact {
+    let fact = Record {
         key: key.into(),
         value: Some(Bytes::from_static(value.as_bytes())),
         version,
     };
     let rows = vec![fact];
     let origin = super::Provenance::store(node.now());
-    apply(node, Topic::Targets, Facts { rows, version }, &origin);
+    apply(node, Topic::Targets, RecordBatch { rows, version }, &origin);
 }
 
 fn ready(node: &Node) -> Vec<Name> {
     let now = node.now();
     let view = node.view();
-    view.ready("s", now).iter().map(|t| t.id.clone()).collect()
+    view.ready_targets("s", now)
+        .iter()
+        .map(|t| t.id.clone())
+        .collect()
 }
 
 /// Symptom: requests went to an engine for adapters that it did not hold, and
@@ -41,14 +44,14 @@
     let old = ready(&node).remove(0);
     node.view()
         .residency
-        .note(&adapter, &old, Standing::Held(1), node.now());
+        .record(&adapter, &old, Presence::Held(1), node.now());
     put(&node, "t", "9 ready", 2);
     let new = ready(&node);
     assert_eq!(new.len(), 1);
     assert_ne!(new[0], old);
     let view = node.view();
-    assert!(view.residency.version(&adapter, &old).is_none());
-    assert!(view.residency.version(&adapter, &new[0]).is_none());
+    assert!(view.residency.held_version(&adapter, &old).is_none());
+    assert!(view.residency.held_version(&adapter, &new[0]).is_none());
 }
 
 /// Symptom: an engine that had started again was sent requests of its former
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use comfreyhall_domain::Name;
-use comfreyhall_inforce::{Step, Way};
+use comfreyhall_inforce::{CatchUp, Source};
 use comfreyhall_protocol::{
     SettingsAsk, SettingsPart, SettingsRows, fleet_client::FleetClient, link,
 };
@@ -33,7 +33,7 @@
     facts::{self, Provenance},
     follow,
     node::Node,
-    ports::{Fact, Facts, Topic},
+    ports::{Record, RecordBatch, Topic},
 };
 
 /// Daemons that are handed settings at once: with one, a daemon that freezes in the
@@ -114,7 +114,7 @@
 
 /// Hands the settings over that `ask` lacks, or names others that may have them.
 pub(super) fn send_settings(node: &Node, ask: &SettingsAsk) -> Result<ChunkStream, Status> {
-    let newest = node.view().book.settings_sync.newest();
+    let newest = node.view().records.settings_sync.newest();
     if newest <= ask.since {
         return Err(Status::not_found("nothing newer is known here"));
     }
@@ -176,11 +176,15 @@
 async fn fetch_missing(node: &Arc<Node>) -> Option<Duration> {
     // The other parts are left for finding one that has it, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
-    let step = node.view().book.settings_sync.step(node.now(), patience);
+    let step = node
+        .view()
+        .records
+        .settings_sync
+        .next_step(node.now(), patience);
     match step {
-        Step::Rest => return None,
-        Step::Wait(ms) => return Some(Duration::from_millis(ms)),
-        Step::Ask => {}
+        CatchUp::Idle => return None,
+        CatchUp::Wait(ms) => return Some(Duration::from_millis(ms)),
+        CatchUp::AskPeer => {}
     }
     let Some(giver) = node.fleet.settings_source(node) else {
         return Some(NO_SOURCE_PAUSE);
@@ -208,25 +212,30 @@
 /// Takes in what the daemon at `addr` hands over.
 async fn fetch(node: &Arc<Node>, addr: &str) -> Result<(), FetchError> {
     let asked = node.now();
-    let since = node.view().book.settings_sync.covers();
+    let since = node.view().records.settings_sync.complete_to();
     let transfer = collect(node, addr, since);
     let rows = match tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await {
         Ok(rows) => rows?,
         Err(_) => return Err(FetchError::Failed("it takes too long".to_string())),
     };
     let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Unusable("not rows"))?;
-    if !node.view().book.settings_sync.fits(rows.since) {
+    if !node.view().records.settings_sync.is_contiguous(rows.since) {
         return Err(FetchError::Unusable("a gap before them"));
     }
     let newest = rows.newest;
-    let rows: Vec<Fact> = rows.rows.into_iter().map(news::from_wire).collect();
+    let rows: Vec<Record> = rows.rows.into_iter().map(news::from_wire).collect();
     let origin = Provenance {
-        way: Way::Peer(node.fleet.id_of(addr)),
+        way: Source::Peer(node.fleet.id_of(addr)),
         requested_at_ms: asked,
     };
     let version = newest;
-    facts::apply(node, Topic::Settings, Facts { rows, version }, &origin);
-    node.view().book.settings_sync.peer_gave(newest);
+    facts::apply(
+        node,
+        Topic::Settings,
+        RecordBatch { rows, version },
+        &origin,
+    );
+    node.view().records.settings_sync.peer_completed(newest);
     follow::start_if_synced(node);
     Ok(())
 }
@@ -259,7 +268,7 @@
 impl Fleet {
     /// A daemon that has newer settings, drawn among those that have the newest.
     fn settings_source(&self, node: &Node) -> Option<Name> {
-        let known = node.view().book.settings_sync.covers();
+        let known = node.view().records.settings_sync.complete_to();
         let now = node.now();
         let state = self.state();
         let newest = state
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -2,7 +2,7 @@
 
 use comfreyhall_domain::Name;
 use comfreyhall_protocol::{Cession, Daemon};
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::{Fleet, hub};
 
@@ -104,7 +104,7 @@
                 d.domain == group,
             )
         };
-        let turn = |d: &Daemon| home_rank(group, &d.peer);
+        let turn = |d: &Daemon| rendezvous_rank(group, &d.peer);
         let about = state
             .alive_peers(now)
             .filter_map(|(_, p)| p.daemon.as_ref());
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -7,7 +7,7 @@
 //! is out of hearing: it may serve requests where it is.
 
 use comfreyhall_domain::Name;
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::{Fleet, holding::MIN_HOLDER_MILLICORES, hub};
 
@@ -57,9 +57,16 @@
         let weak = |millicores: u32| large && millicores < MIN_HOLDER_MILLICORES;
         let alive = state.alive_peers(now).filter_map(|(addr, peer)| {
             let about = peer.daemon.as_ref().filter(|a| a.ready)?;
-            Some((weak(about.millicores), home_rank(group, addr), addr.clone()))
+            Some((
+                weak(about.millicores),
+                rendezvous_rank(group, addr),
+                addr.clone(),
+            ))
         });
-        let own = (weak(self.me.millicores), home_rank(group, &self.me.peer));
+        let own = (
+            weak(self.me.millicores),
+            rendezvous_rank(group, &self.me.peer),
+        );
         let (weak, rank, addr) = alive.min()?;
         ((weak, rank) < own).then_some(addr)
     }
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use comfreyhall_domain::{Map, Name, Set};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_inforce::{SettingsTracker, Source};
 use comfreyhall_protocol::{Daemon, Demand, EngineRun, Holding, News, TargetWork};
-use comfreyhall_quarantine::Heard;
-use comfreyhall_routing::{Standing, Work};
+use comfreyhall_quarantine::SyncPosition;
+use comfreyhall_routing::{Presence, Work};
 use rand::seq::IteratorRandom;
 
 use super::{Fleet, Peer, State, hub, parse_adapter_key, runs::Runs};
@@ -15,7 +15,7 @@
     follow,
     node::Node,
     outbound,
-    ports::{Fact, Facts, Topic},
+    ports::{Record, RecordBatch, Topic},
     quarantine::wire,
 };
 
@@ -91,20 +91,20 @@
     }
 
     pub(super) fn own_gossip(&self, node: &Node, now: u64) -> News {
-        let words = outbound::words_of_holder(node);
+        let words = outbound::holder_notices(node);
         let mut view = node.view();
-        let work = view.board.own().map(|(target, w)| TargetWork {
+        let work = view.board.own_work().map(|(target, w)| TargetWork {
             target: target.to_string(),
-            prefill: w.prefill,
-            waiting: w.waiting,
-            running: w.running,
+            prefill: w.prefill_tokens,
+            waiting: w.waiting_tokens,
+            running: w.requests,
         });
         let work = work.collect();
-        let targets = view.book.topic_rows(Topic::Targets);
+        let targets = view.records.topic_rows(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.settings_sync.age(now);
-        let settings_version = view.book.settings_sync.newest();
+        let settings_age = view.records.settings_sync.age_ms(now);
+        let settings_version = view.records.settings_sync.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
         // to hear of it and to send them. What goes wrong without it: the store
@@ -112,7 +112,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.settings_sync.behind_ms(now);
+        let behind_ms = view.records.settings_sync.lag_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -132,7 +132,7 @@
             targets_version,
             targets_age,
             settings_age,
-            cut_off: node.cut_off() || behind_ms > lag_ms,
+            cut_off: node.settings_unavailable() || behind_ms > lag_ms,
             members: self.certain_members(),
             words,
             sent_at: now,
@@ -191,7 +191,7 @@
             self.add_peer(addr, false);
         }
         wire::apply_findings(node, &news.evidence);
-        outbound::learn(node, &news.words, &from.id);
+        outbound::merge_notices(node, &news.words, &from.id);
         let mut works = self.update_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
         if how == super::Origin::Answer {
@@ -207,59 +207,64 @@
         let mut view = node.view();
         for work in &news.work {
             let told = Work {
-                prefill: work.prefill,
-                waiting: work.waiting,
-                running: work.running,
+                prefill_tokens: work.prefill,
+                waiting_tokens: work.waiting,
+                requests: work.running,
             };
             let sum = works.entry(work.target.as_str().into()).or_default();
             *sum = sum.plus(told);
         }
-        view.board.peer(&peer, &works, now + alive_for);
+        view.board.set_peer_work(&peer, &works, now + alive_for);
         for placed in &news.placed {
             if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
-                    true => Standing::Absent,
-                    false => Standing::Held(placed.version),
+                    true => Presence::Absent,
+                    false => Presence::Held(placed.version),
                 };
-                view.residency.note(&adapter, &target, standing, now);
+                view.residency.record(&adapter, &target, standing, now);
             }
         }
         for demand in &news.demands {
-            view.wanted(&demand.key, demand.requests, now);
+            view.count_demand(&demand.key, demand.requests, now);
         }
         drop(view);
         let age = news.targets_age;
-        let covers = news.targets_version >= node.view().book.targets.version;
+        let covers = news.targets_version >= node.view().records.targets.version;
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.settings_sync.fits(news.settings_since) {
+        let settings = match node
+            .view()
+            .records
+            .settings_sync
+            .is_contiguous(news.settings_since)
+        {
             true => news.settings,
             false => Vec::new(),
         };
         let origin = Provenance {
-            way: Way::Peer(peer.clone()),
+            way: Source::Peer(peer.clone()),
             requested_at_ms: now,
         };
         for (topic, rows) in [(Topic::Settings, settings), (Topic::Targets, news.targets)] {
             if rows.is_empty() {
                 continue;
             }
-            let rows: Vec<Fact> = rows.into_iter().map(from_wire).collect();
+            let rows: Vec<Record> = rows.into_iter().map(from_wire).collect();
             let version = rows.iter().map(|f| f.version).max().unwrap_or(0);
-            facts::apply(node, topic, Facts { rows, version }, &origin);
+            facts::apply(node, topic, RecordBatch { rows, version }, &origin);
             follow::start_if_synced(node);
         }
         let mut view = node.view();
         if age != u64::MAX && covers {
-            view.book.targets.confirm(now.saturating_sub(age));
+            view.records.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.book.settings_sync;
-        let before = in_force.heard().map(|h| h.version);
-        in_force.peer_said(&peer, settings_version, settings_as_of, now);
+        let in_force = &mut view.records.settings_sync;
+        let before = in_force.newer_version().map(|h| h.version);
+        in_force.peer_reported(&peer, settings_version, settings_as_of, now);
         log_newer_settings(in_force, before, now);
-        let lacking = in_force.heard().is_some();
+        let lacking = in_force.newer_version().is_some();
         drop(view);
         if lacking {
             self.wake_fetch();
@@ -315,7 +320,7 @@
             true => news.heard_serial,
             false => 0,
         };
-        peer.findings_heard = Heard {
+        peer.findings_heard = SyncPosition {
             boot: from.boot,
             serial: news.told_serial,
         };
@@ -327,13 +332,18 @@
 
 /// Notes a newer version of the settings that was just heard of, and why it may
 /// take time to come.
-fn log_newer_settings(in_force: &InForce, before: Option<u64>, now: u64) {
-    let Some(heard) = in_force.heard().filter(|h| Some(h.version) != before) else {
+fn log_newer_settings(in_force: &SettingsTracker, before: Option<u64>, now: u64) {
+    let Some(heard) = in_force
+        .newer_version()
+        .filter(|h| Some(h.version) != before)
+    else {
         return;
     };
-    let (row, age) = (in_force.newest(), in_force.age(now));
-    let away = in_force.away().map_or(0, |since| now.saturating_sub(since));
-    log::info!(target: "follow", newer = heard.version, peer:% = heard.from, row, age, away, behind = in_force.behind_ms(now); "newer settings heard of");
+    let (row, age) = (in_force.newest(), in_force.age_ms(now));
+    let away = in_force
+        .store_down_since()
+        .map_or(0, |since| now.saturating_sub(since));
+    log::info!(target: "follow", newer = heard.version, peer:% = heard.reported_by, row, age, away, behind = in_force.lag_ms(now); "newer settings heard of");
 }
 
 impl State {
@@ -355,7 +365,7 @@
     }
 }
 
-pub(super) fn to_wire(fact: &Fact) -> comfreyhall_protocol::Fact {
+pub(super) fn to_wire(fact: &Record) -> comfreyhall_protocol::Fact {
     comfreyhall_protocol::Fact {
         key: fact.key.to_string(),
         value: fact.value.as_ref().map(|v| v.to_vec()).unwrap_or_default(),
@@ -364,8 +374,8 @@
     }
 }
 
-pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Fact {
-    Fact {
+pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Record {
+    Record {
         key: fact.key.into(),
         value: (!fact.deleted).then(|| fact.value.into()),
         version: fact.version,
@@ -379,9 +389,9 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.topic_rows(topic);
+    let shelf = view.records.topic_rows(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
-    let newer = |fact: &&Fact| match topic {
+    let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
         Topic::Targets => shelf
             .changed_versions
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -17,7 +17,7 @@
 use crate::{
     facts::{self, Provenance},
     node::Node,
-    ports::{Arriving, Facts, SourceError, Topic},
+    ports::{PendingBatch, RecordBatch, SourceError, Topic},
 };
 
 /// Longest wait of one feed call. Shorter than the store's longest by far,
@@ -82,7 +82,7 @@
             Err(e) => (Err(e), Times::now(&node)),
         };
         link.note(&node, &answer, began);
-        node.set_cut_off(matches!(answer, Err(SourceError::Unavailable(_))));
+        node.set_settings_unavailable(matches!(answer, Err(SourceError::Unavailable(_))));
         match answer {
             Ok(facts) => {
                 after = Some(facts.version);
@@ -90,14 +90,14 @@
                 let origin = Provenance::store(times.asked);
                 facts::apply(&node, Topic::Settings, facts, &origin);
                 node.view()
-                    .book
+                    .records
                     .settings_sync
-                    .store_said(covers, times.as_of);
+                    .store_confirmed(covers, times.as_of);
                 start_if_synced(&node);
             }
-            Err(SourceError::Forgotten) => after = None,
+            Err(SourceError::Compacted) => after = None,
             Err(SourceError::Unavailable(_)) => {
-                node.view().book.settings_sync.store_failed(began);
+                node.view().records.settings_sync.store_failed(began);
                 node.fleet.wake_fetch();
                 link.pause(&node).await;
             }
@@ -107,7 +107,7 @@
 
 /// An answer about settings with its times.
 struct StoreAnswer {
-    facts: Facts,
+    facts: RecordBatch,
     times: Times,
 }
 
@@ -145,8 +145,8 @@
 }
 
 /// The rest of an answer that has begun to come.
-async fn receive(node: &Node, rest: Arriving) -> Result<Facts, SourceError> {
-    node.view().book.settings_sync.store_began();
+async fn receive(node: &Node, rest: PendingBatch) -> Result<RecordBatch, SourceError> {
+    node.view().records.settings_sync.store_read_started();
     rest.await
 }
 
@@ -155,7 +155,7 @@
     node: &Node,
     began: u64,
     wait: Duration,
-    rest: Arriving,
+    rest: PendingBatch,
 ) -> Result<StoreAnswer, SourceError> {
     let asked = node.now();
     let facts = receive(node, rest).await?;
@@ -191,7 +191,10 @@
             return Ok(found);
         }
         let (covers, as_of) = (found.facts.version, found.times.as_of);
-        node.view().book.settings_sync.store_said(covers, as_of);
+        node.view()
+            .records
+            .settings_sync
+            .store_confirmed(covers, as_of);
     }
 }
 
@@ -201,7 +204,7 @@
     let bound = node.settings().bounds.apply_ms as f64;
     let due = (bound * rand::rng().random_range(PROBE_PARTS)) as u64;
     loop {
-        let age = node.view().book.settings_sync.age(node.now());
+        let age = node.view().records.settings_sync.age_ms(node.now());
         if age >= due {
             return;
         }
@@ -226,11 +229,11 @@
 /// young enough, and nobody tells of anything newer.
 async fn await_stale(node: &Node) {
     loop {
-        if node.view().book.settings_sync.heard().is_some() {
+        if node.view().records.settings_sync.newer_version().is_some() {
             return;
         }
         let most = 2 * node.settings().bounds.apply_ms / PARTS_PER_APPLY;
-        let age = node.view().book.settings_sync.age(node.now());
+        let age = node.view().records.settings_sync.age_ms(node.now());
         if !node.fleet.is_large() || holds_lease(node) || age > most {
             return;
         }
@@ -281,17 +284,17 @@
     }
 
     /// Takes in the answer to a call that began at `began`.
-    fn note(&mut self, node: &Node, answer: &Result<Facts, SourceError>, began: u64) {
+    fn note(&mut self, node: &Node, answer: &Result<RecordBatch, SourceError>, began: u64) {
         let topic = self.topic;
         let now = node.now();
-        let (waited, age) = (now - began, node.view().book.settings_sync.age(now));
+        let (waited, age) = (now - began, node.view().records.settings_sync.age_ms(now));
         node.metrics.store_read(topic, answer.is_ok());
         match answer {
             Ok(facts) if self.down => {
                 log::info!(target: "follow", version = facts.version, waited, settings_age = age; "store answers again for {topic}");
             }
             Ok(_) => {}
-            Err(e) if !self.down || *e == SourceError::Forgotten => {
+            Err(e) if !self.down || *e == SourceError::Compacted => {
                 log::warn!(target: "follow", error:% = e, waited, settings_age = age; "{topic} not read");
             }
             Err(_) => {}
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -8,14 +8,14 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Stage, Target};
-use comfreyhall_placement::engines_for;
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_placement::engines_needed;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::Job;
 use crate::{
     fleet::parse_adapter_key,
     node::{Node, View},
-    outbound::Shut,
+    outbound::UnavailableTargets,
 };
 
 /// Interval between scans: half of the gossip period.
@@ -43,13 +43,15 @@
         let in_use = node.fleet.in_use(now);
         missing_copies(&view, &in_use, now)
     };
-    let shut = Shut::now(node, now);
+    let unavailable = UnavailableTargets::current(node, now);
     for copy in due {
-        if node.token(&copy.target.domain).is_none() || shut.loads(&copy.target.id) {
+        if node.token(&copy.target.failure_domain).is_none()
+            || unavailable.blocks_loads(&copy.target.id)
+        {
             continue;
         }
         let id = &copy.target.id;
-        let Some(jobs) = node.keepers.jobs().get(id).cloned() else {
+        let Some(jobs) = node.controllers.jobs().get(id).cloned() else {
             continue;
         };
         let job = Job::prefetch(copy.adapter, 0, now);
@@ -70,26 +72,26 @@
 /// Engines without a free slot come last: a copy requested there waits, while
 /// the queues that it should relieve keep growing.
 fn missing_copies(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<MissingCopy> {
-    let cost_ms = view.board.reading_ms(view.prompt_tokens);
+    let cost_ms = view.board.read_duration_ms(view.mean_prompt);
     let mut out = Vec::new();
-    for (key, rate) in view.rush.rates(now) {
-        let needed = engines_for(rate, cost_ms);
+    for (key, rate) in view.fast_demand.rates(now) {
+        let needed = engines_needed(rate, cost_ms);
         if needed < 2 {
             continue;
         }
         let Some(adapter) = parse_adapter_key(&key).filter(|a| a.adapter.is_some()) else {
             continue;
         };
-        let held = view.residency.copies(&adapter);
+        let held = view.residency.copy_count(&adapter);
         let mut homes: Vec<_> = view
             .targets
             .values()
-            .filter(|t| t.stage == Stage::Ready && t.holds(&adapter.model))
-            .filter(|t| view.residency.version(&adapter, &t.id).is_none())
+            .filter(|t| t.stage == Stage::Ready && t.has_model(&adapter.model))
+            .filter(|t| view.residency.held_version(&adapter, &t.id).is_none())
             .map(|t| {
                 let used = in_use.get(&t.id).map_or(0, Vec::len);
-                let full = used as u32 >= view.places(t);
-                ((full, home_rank(&key, &t.id)), t)
+                let full = used as u32 >= view.adapter_slots(t);
+                ((full, rendezvous_rank(&key, &t.id)), t)
             })
             .collect();
         homes.sort_by_key(|(rank, _)| *rank);
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -1,16 +1,16 @@
 //! Loading of adapters into slots: job selection, eviction and completion.
 
 use comfreyhall_domain::AdapterRef;
-use comfreyhall_placement::{Occupant, victim};
-use comfreyhall_routing::Standing;
+use comfreyhall_placement::{EvictionCandidate, select_victim};
+use comfreyhall_routing::Presence;
 
 use super::{
     EngineController, HeldAdapter, Job, LOAD_POLL_MS, PendingLoad, Placed, STALLED_LOAD_MS, finish,
 };
 use crate::{
     fleet::adapter_key,
-    node::Named,
-    ports::{Action, OrderReply},
+    node::NamedVersion,
+    ports::{Action, CommandReply},
 };
 
 /// Concurrent adapter loads that an engine allows.
@@ -42,10 +42,10 @@
             // A repeated command reports a finished load, and is cheaper than a
             // report.
             match self.send_command(Action::Load, &adapter, version).await {
-                OrderReply::Holds => self.finish_load(&adapter),
-                OrderReply::Accepted => self.check_stalled(&adapter),
-                OrderReply::Conflict | OrderReply::Silent(_) | OrderReply::Unsent => {}
-                OrderReply::Fenced | OrderReply::Gone | OrderReply::Invalid => {
+                CommandReply::Holds => self.finish_load(&adapter),
+                CommandReply::Accepted => self.check_stalled(&adapter),
+                CommandReply::Conflict | CommandReply::Silent(_) | CommandReply::Unsent => {}
+                CommandReply::Fenced | CommandReply::Gone | CommandReply::Invalid => {
                     if let Some(loading) = self.take_pending(&adapter) {
                         finish(loading.waiters, Err("the engine no longer loads it".into()));
                     }
@@ -76,7 +76,7 @@
             return;
         };
         let load_ms = now.saturating_sub(loading.started_at_ms);
-        self.node.keepers.record_load(loading.cached, load_ms, now);
+        self.node.controllers.record_load(loading.cached, load_ms, now);
         let Some(loading) = self.take_pending(adapter) else {
             return;
         };
@@ -86,9 +86,10 @@
             since_ms: now,
         };
         self.held.insert(adapter.clone(), hold);
-        let standing = Standing::Held(version);
+        let standing = Presence::Held(version);
         let mut view = self.node.view();
-        view.residency.note(adapter, &self.target.id, standing, now);
+        view.residency
+            .record(adapter, &self.target.id, standing, now);
         drop(view);
         self.node
             .fleet
@@ -115,7 +116,7 @@
         let grace = self.node.settings().bounds.version_ms / VERSION_GRACE_DIVISOR;
         let in_use = self.node.fleet.in_use_at(&self.target.id, now);
         let outdated = newer.into_iter().filter(|(adapter, named)| {
-            let due = now.saturating_sub(named.learned) >= grace;
+            let due = now.saturating_sub(named.learned_ms) >= grace;
             due || !in_use.contains(adapter)
         });
         let outdated: Vec<(AdapterRef, u64, f64)> = {
@@ -137,10 +138,10 @@
     }
 
     /// Held adapters for which a newer version has been named.
-    fn outdated(&self) -> Vec<(AdapterRef, Named)> {
+    fn outdated(&self) -> Vec<(AdapterRef, NamedVersion)> {
         let view = self.node.view();
         let newer = self.held.iter().filter_map(|(adapter, hold)| {
-            let named = view.named.get(adapter)?;
+            let named = view.named_versions.get(adapter)?;
             (named.version > hold.version).then(|| (adapter.clone(), *named))
         });
         newer.collect()
@@ -185,13 +186,13 @@
             return Some("report");
         }
         let now = self.node.now();
-        if now.saturating_sub(job.waiting.since) < job.extra_ms {
+        if now.saturating_sub(job.waiting.arrived_ms) < job.extra_ms {
             return Some("turn");
         }
         // Another engine is loading the adapter for another request, and will
         // serve this one from its queue as well, without a second load.
         let engines = job.ticket.as_ref().map_or(&[][..], |t| t.candidates());
-        let keepers = &self.node.keepers;
+        let keepers = &self.node.controllers;
         if keepers.is_loading_elsewhere(&job.adapter, &self.target.id, engines) {
             return Some("elsewhere");
         }
@@ -200,11 +201,12 @@
         }
         let recent = {
             let view = self.node.view();
-            view.residency.recent(&job.adapter, &self.target.id, now)
+            view.residency
+                .likely_cached(&job.adapter, &self.target.id, now)
         };
         // Cached weights do not come from the weight store.
         let window = self.node.policies().load_window;
-        (window && !recent && self.node.keepers.store_full()).then_some("weight store")
+        (window && !recent && self.node.controllers.store_full()).then_some("weight store")
     }
 
     /// Result of a placement on this engine.
@@ -219,34 +221,39 @@
         let now = self.node.now();
         let (version, recent) = {
             let view = self.node.view();
-            let named = view.named.get(&job.adapter).map_or(0, |n| n.version);
-            let recent = view.residency.recent(&job.adapter, &self.target.id, now);
+            let named = view
+                .named_versions
+                .get(&job.adapter)
+                .map_or(0, |n| n.version);
+            let recent = view
+                .residency
+                .likely_cached(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
         let done = job.claim();
         let target = self.target.id.clone();
-        self.node.keepers.begin_load(&job.adapter, &target);
+        self.node.controllers.begin_load(&job.adapter, &target);
         let reply = self.send_command(Action::Load, &job.adapter, version).await;
-        if reply != OrderReply::Accepted {
-            self.node.keepers.end_load(&job.adapter, &target);
+        if reply != CommandReply::Accepted {
+            self.node.controllers.end_load(&job.adapter, &target);
         }
         match reply {
-            OrderReply::Accepted => {
+            CommandReply::Accepted => {
                 let now = self.node.now();
-                let expected = self.node.keepers.expected_load_ms(recent);
+                let expected = self.node.controllers.expected_load_ms(recent);
                 let loading = PendingLoad {
                     version,
                     started_at_ms: now,
                     poll_at_ms: now + ((expected * FIRST_POLL_FRACTION) as u64).max(LOAD_POLL_MS),
                     cached: recent,
-                    queued_ms: now.saturating_sub(job.waiting.since),
+                    queued_ms: now.saturating_sub(job.waiting.arrived_ms),
                     wait_reason: job.wait_reason,
                     waiters: done.into_iter().collect(),
                 };
                 self.add_pending(job.adapter, loading);
                 None
             }
-            OrderReply::Holds => {
+            CommandReply::Holds => {
                 let since = self.node.now();
                 self.held.insert(
                     job.adapter,
@@ -259,19 +266,19 @@
                 finish(done, Ok(placed));
                 None
             }
-            OrderReply::Conflict => {
+            CommandReply::Conflict => {
                 job.yield_to_others(done);
                 Some(job)
             }
             // Another engine may answer before the state of this one is known.
-            OrderReply::Silent(_)
-            | OrderReply::Fenced
-            | OrderReply::Invalid
-            | OrderReply::Unsent => {
+            CommandReply::Silent(_)
+            | CommandReply::Fenced
+            | CommandReply::Invalid
+            | CommandReply::Unsent => {
                 job.yield_to_others(done);
                 None
             }
-            OrderReply::Gone => {
+            CommandReply::Gone => {
                 if let Some(ticket) = &job.ticket {
                     ticket.note_gone(&target);
                 }
@@ -296,7 +303,7 @@
     }
 
     pub(super) fn slots(&self) -> usize {
-        self.node.view().places(&self.target) as usize
+        self.node.view().adapter_slots(&self.target) as usize
     }
 
     pub(super) fn choose_victim(&self) -> Option<AdapterRef> {
@@ -304,15 +311,15 @@
         let pinned = self.node.fleet.in_use_at(&self.target.id, now);
         let view = self.node.view();
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
-        let occupants: Vec<Occupant<AdapterRef>> = unused
-            .map(|(adapter, hold)| Occupant {
+        let occupants: Vec<EvictionCandidate<AdapterRef>> = unused
+            .map(|(adapter, hold)| EvictionCandidate {
                 score: view.demand.score(&adapter_key(adapter), now),
-                copies: view.residency.copies(adapter).saturating_sub(1),
+                other_copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since_ms),
                 key: adapter.clone(),
             })
             .collect();
-        victim(&occupants).map(|o| o.key.clone())
+        select_victim(&occupants).map(|o| o.key.clone())
     }
 }
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -26,13 +26,13 @@
 };
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Target};
-use comfreyhall_placement::{Ceiling, Waiting, Window};
+use comfreyhall_placement::{LoadRateLimit, LoadWindow, QueuedRequest};
 use tokio::sync::mpsc;
 
 use self::ticket::{Ticket, Waiter};
 pub(crate) use self::{
     ticket::{Placed, PlacementError},
-    wish::{Candidate, PlacementRequest, place_adapter},
+    wish::{EngineCandidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
@@ -69,7 +69,7 @@
     adapter: AdapterRef,
     /// Minimum acceptable version; 0 for any.
     version: u64,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     /// The waiting request; `None` for a prefetch.
     ticket: Option<Arc<Ticket>>,
     /// Additional latency in ms of serving it here instead of on the best
@@ -87,10 +87,10 @@
         Self {
             adapter,
             version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: 0,
-                since: now,
-                aim: now + STALLED_LOAD_MS,
+                arrived_ms: now,
+                start_by_ms: now + STALLED_LOAD_MS,
             },
             ticket: None,
             extra_ms: 0,
@@ -134,9 +134,9 @@
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
     /// Loads from the weight store in progress.
     store_loads: AtomicU32,
-    window: Mutex<Window>,
+    window: Mutex<LoadWindow>,
     /// Model loads started recently.
-    model_loads: Mutex<Ceiling>,
+    model_loads: Mutex<LoadRateLimit>,
     load_times: Mutex<[f64; 2]>,
 }
 
@@ -154,7 +154,7 @@
 }
 
 impl EngineControllers {
-    fn window(&self) -> MutexGuard<'_, Window> {
+    fn window(&self) -> MutexGuard<'_, LoadWindow> {
         self.window.lock().expect("no holder of this lock panics")
     }
 
@@ -170,7 +170,7 @@
             .model_loads
             .lock()
             .expect("no holder of this lock panics");
-        models.begin(rate, part, now)
+        models.try_start(rate, part, now)
     }
 
     /// Expected duration of a load in ms.
@@ -185,7 +185,7 @@
     fn record_load(&self, recent: bool, load_ms: u64, now: u64) {
         if !recent {
             let full = self.store_full();
-            self.window().ended(load_ms, full, now);
+            self.window().record_load(load_ms, full, now);
         }
         let mut times = self
             .load_times
@@ -248,13 +248,13 @@
             {
                 let mut view = node.view();
                 view.demand.prune(MIN_DEMAND_SCORE, now);
-                view.rush.prune(MIN_DEMAND_SCORE, now);
-                view.asked.prune(MIN_DEMAND_SCORE, now);
+                view.fast_demand.prune(MIN_DEMAND_SCORE, now);
+                view.bind_demand.prune(MIN_DEMAND_SCORE, now);
             }
             let ours = engines(&node).into_iter();
-            let ours = ours.filter(|t| node.token(&t.domain).is_some());
+            let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
-            node.keepers.window().open(ours.len());
+            node.controllers.window().init_for(ours.len());
             for target in &ours {
                 start(&node, target);
             }
@@ -279,7 +279,7 @@
 }
 
 fn start(node: &Arc<Node>, target: &Arc<Target>) {
-    let mut jobs = node.keepers.jobs();
+    let mut jobs = node.controllers.jobs();
     if jobs.get(&target.id).is_some_and(|j| !j.is_closed()) {
         return;
     }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{EngineController, IDLE_POLL_MS, REPORT_DELAY};
 use crate::{
     fleet::adapter_key,
     leases, outbound,
-    ports::{Action, Order, OrderReply},
+    ports::{Action, Command, CommandReply},
 };
 
 /// Longest wait for the answer to a command. Answers take a few ms; an engine
@@ -33,18 +33,18 @@
         action: Action,
         adapter: &AdapterRef,
         version: u64,
-    ) -> OrderReply {
-        let Some(token) = self.node.token(&self.target.domain) else {
-            return OrderReply::Fenced;
+    ) -> CommandReply {
+        let Some(token) = self.node.token(&self.target.failure_domain) else {
+            return CommandReply::Fenced;
         };
-        if self.node.leaving() {
-            return OrderReply::Fenced;
+        if self.node.draining() {
+            return CommandReply::Fenced;
         }
-        let order = Order {
+        let order = Command {
             action,
             adapter: adapter.clone(),
             version: (version > 0).then_some(version),
-            expected: self.sequence,
+            expected_sequence: self.sequence,
             holder: self.node.settings().id.clone(),
             token,
         };
@@ -55,25 +55,27 @@
             // A load that is already in progress is accepted again without
             // being counted; unloading an unused adapter takes effect at once
             // and is counted.
-            OrderReply::Accepted if !self.pending.contains_key(adapter) => self.sequence += 1,
-            OrderReply::Holds if action == Action::Unload => self.sequence += 1,
-            OrderReply::Accepted | OrderReply::Holds => {}
-            OrderReply::Conflict | OrderReply::Silent(_) => {
+            CommandReply::Accepted if !self.pending.contains_key(adapter) => self.sequence += 1,
+            CommandReply::Holds if action == Action::Unload => self.sequence += 1,
+            CommandReply::Accepted | CommandReply::Holds => {}
+            CommandReply::Conflict | CommandReply::Silent(_) => {
                 self.synced = false;
                 self.report_after_ms = self.node.now() + REPORT_DELAY.as_millis() as u64;
             }
-            OrderReply::Fenced => {
+            CommandReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.observe_token(&self.target.domain, token);
+                self.node
+                    .leases
+                    .observe_token(&self.target.failure_domain, token);
             }
             // The engine gets no more commands until it has sent a report.
-            OrderReply::Unsent => self.synced = false,
-            OrderReply::Gone => {
+            CommandReply::Unsent => self.synced = false,
+            CommandReply::Gone => {
                 let until = self.node.now() + IDLE_POLL_MS;
                 let mut view = self.node.view();
-                view.dead.insert(self.target.id.clone(), until);
+                view.unavailable_until.insert(self.target.id.clone(), until);
             }
-            OrderReply::Invalid => {
+            CommandReply::Invalid => {
                 log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "order refused as invalid");
             }
         }
@@ -81,16 +83,16 @@
     }
 
     /// Sends `order`, and repeats it while there is no answer.
-    async fn send_with_retries(&self, order: Order) -> OrderReply {
-        let mut reply = OrderReply::Silent("not given".into());
+    async fn send_with_retries(&self, order: Command) -> CommandReply {
+        let mut reply = CommandReply::Silent("not given".into());
         for _ in 0..MAX_ATTEMPTS {
             // The lease may have expired while waiting for an answer.
-            if self.node.token(&self.target.domain) != Some(order.token) {
+            if self.node.token(&self.target.failure_domain) != Some(order.token) {
                 break;
             }
             let target = &self.target;
-            reply = outbound::order(&self.node, target, order.clone(), COMMAND_TIMEOUT).await;
-            if !matches!(reply, OrderReply::Silent(_)) {
+            reply = outbound::command(&self.node, target, order.clone(), COMMAND_TIMEOUT).await;
+            if !matches!(reply, CommandReply::Silent(_)) {
                 break;
             }
         }
@@ -99,14 +101,14 @@
 
     pub(super) async fn unload(&mut self, adapter: &AdapterRef) -> bool {
         let reply = self.send_command(Action::Unload, adapter, 0).await;
-        if !matches!(reply, OrderReply::Accepted | OrderReply::Holds) {
+        if !matches!(reply, CommandReply::Accepted | CommandReply::Holds) {
             return false;
         }
         let now = self.node.now();
         self.held.remove(adapter);
         let mut view = self.node.view();
         view.residency
-            .note(adapter, &self.target.id, Standing::Absent, now);
+            .record(adapter, &self.target.id, Presence::Absent, now);
         drop(view);
         self.node
             .fleet
@@ -117,7 +119,7 @@
     /// Loads a model on an engine that has none, as after a restart.
     pub(super) async fn load_model(&mut self) {
         let now = self.node.now();
-        let empty = self.target.held.is_empty() && self.held.is_empty();
+        let empty = self.target.loaded.is_empty() && self.held.is_empty();
         if !empty || now < self.model_due_ms || self.target.stage != Stage::Ready {
             return;
         }
@@ -125,7 +127,7 @@
             return;
         };
         let part = self.group_share();
-        if !self.node.keepers.model_may_load(rate, part, now) {
+        if !self.node.controllers.model_may_load(rate, part, now) {
             self.model_due_ms = now + IDLE_POLL_MS;
             return;
         }
@@ -139,7 +141,7 @@
         // own duration.
         self.model_due_ms = self.node.now()
             + match reply {
-                OrderReply::Accepted | OrderReply::Holds => 4 * load_ms,
+                CommandReply::Accepted | CommandReply::Holds => 4 * load_ms,
                 _ => REPORT_DELAY.as_millis() as u64,
             };
     }
@@ -149,9 +151,9 @@
         let view = self.node.view();
         let config = view.config.as_ref()?;
         let engine = config.services.get(&self.target.service)?.engine.as_ref()?;
-        let holders = |name: &Name| view.targets.values().filter(|t| t.holds(name)).count();
+        let holders = |name: &Name| view.targets.values().filter(|t| t.has_model(name)).count();
         let model = engine.models.iter().min_by_key(|m| holders(&m.name))?;
-        Some((model.name.clone(), model.load_ms, engine.loads_rate))
+        Some((model.name.clone(), model.load_ms, engine.load_rate))
     }
 
     /// The share of the lease groups with engines that this daemon holds.
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -6,14 +6,14 @@
 use std::{sync::atomic::Ordering, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{
     EngineController, HeldAdapter, IDLE_POLL_MS, LOAD_POLL_MS, PendingLoad, REPORT_DELAY, finish,
 };
 use crate::{
     outbound,
-    ports::{NoReport, Report},
+    ports::{Report, ReportError},
 };
 
 /// Longest wait for a report.
@@ -38,16 +38,16 @@
         }
     }
 
-    fn report_failed(&mut self, why: &NoReport) {
+    fn report_failed(&mut self, why: &ReportError) {
         log::info!(target: "keeper", id:% = self.target.id, why:%; "no report");
         let now = self.node.now();
         self.report_after_ms = now + REPORT_DELAY.as_millis() as u64;
-        if *why == NoReport::OtherBoot {
+        if *why == ReportError::Restarted {
             // Without this, requests to the previous boot would be rejected one
             // by one.
             let until = now + IDLE_POLL_MS;
             let mut view = self.node.view();
-            view.dead.insert(self.target.id.clone(), until);
+            view.unavailable_until.insert(self.target.id.clone(), until);
         }
     }
 
@@ -56,7 +56,7 @@
         self.sequence = report.sequence;
         self.synced = true;
         let mut held: Map<AdapterRef, HeldAdapter> = Map::default();
-        for model in &report.held {
+        for model in &report.loaded {
             for (name, version) in &model.adapters {
                 let adapter = AdapterRef {
                     model: model.model.clone(),
@@ -73,7 +73,7 @@
                 );
             }
         }
-        let listed: Map<AdapterRef, u64> = report.coming.into_iter().collect();
+        let listed: Map<AdapterRef, u64> = report.loading.into_iter().collect();
         let old: Vec<AdapterRef> = self.pending.keys().cloned().collect();
         let old = old
             .into_iter()
@@ -102,7 +102,7 @@
         }
         self.publish_held(&held, now);
         self.held = held;
-        if report.held.is_empty() && !report.busy {
+        if report.loaded.is_empty() && !report.busy {
             self.model_due_ms = self.model_due_ms.min(now);
         }
     }
@@ -110,36 +110,35 @@
     /// Updates the adapter residency that request routing reads.
     pub(super) fn publish_held(&self, held: &Map<AdapterRef, HeldAdapter>, now: u64) {
         let mut view = self.node.view();
-        for (adapter, _) in view.residency.at(&self.target.id) {
+        for (adapter, _) in view.residency.held_adapters(&self.target.id) {
             if !held.contains_key(&adapter) {
                 view.residency
-                    .note(&adapter, &self.target.id, Standing::Absent, now);
+                    .record(&adapter, &self.target.id, Presence::Absent, now);
             }
         }
         for (adapter, hold) in held {
-            let standing = Standing::Held(hold.version);
-            view.residency.note(adapter, &self.target.id, standing, now);
+            let standing = Presence::Held(hold.version);
+            view.residency
+                .record(adapter, &self.target.id, standing, now);
         }
     }
 
     pub(super) fn add_pending(&mut self, adapter: AdapterRef, loading: PendingLoad) {
         if !loading.cached {
             self.node
-                .keepers
-                .store_loads
+                .controllers.store_loads
                 .fetch_add(1, Ordering::Relaxed);
         }
-        self.node.keepers.begin_load(&adapter, &self.target.id);
+        self.node.controllers.begin_load(&adapter, &self.target.id);
         self.pending.insert(adapter, loading);
     }
 
     pub(super) fn take_pending(&mut self, adapter: &AdapterRef) -> Option<PendingLoad> {
         let loading = self.pending.remove(adapter)?;
-        self.node.keepers.end_load(adapter, &self.target.id);
+        self.node.controllers.end_load(adapter, &self.target.id);
         if !loading.cached {
             self.node
-                .keepers
-                .store_loads
+                .controllers.store_loads
                 .fetch_sub(1, Ordering::Relaxed);
         }
         Some(loading)
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -43,13 +43,13 @@
         let found = self.node.view().targets.get(&self.target.id).cloned();
         let Some(target) = found else { return false };
         self.target = target;
-        self.node.token(&self.target.domain).is_some()
+        self.node.token(&self.target.failure_domain).is_some()
     }
 
     /// Does what is possible now; returns when to run again.
     pub(super) async fn advance(&mut self) -> u64 {
         let now = self.node.now();
-        if let Some(closed) = outbound::closed(&self.node, &self.target.id) {
+        if let Some(closed) = outbound::unavailable(&self.node, &self.target.id) {
             self.abandon_jobs();
             return now + closed.retry_ms;
         }
@@ -61,7 +61,7 @@
         self.poll_pending().await;
         self.drop_outdated().await;
         let now = self.node.now();
-        self.queue.sort_by_key(|j| j.waiting.rank(now));
+        self.queue.sort_by_key(|j| j.waiting.sort_key(now));
         self.slots_full = false;
         let mut later = Vec::new();
         for job in std::mem::take(&mut self.queue) {
--- a/crates/comfreyhall-node/src/keeper/wish.rs
+++ b/crates/comfreyhall-node/src/keeper/wish.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_placement::Waiting;
+use comfreyhall_placement::QueuedRequest;
 use tokio::sync::oneshot;
 
 use super::{Job, Placed, PlacementError, Ticket, ticket::GoneEngines};
@@ -11,7 +11,7 @@
 
 /// An engine that may load an adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Candidate {
+pub(crate) struct EngineCandidate {
     pub(crate) target: Name,
     /// Additional latency in ms compared with the best candidate: the engine
     /// loads the adapter only after that time has passed without a free slot
@@ -24,7 +24,7 @@
 pub(crate) struct PlacementRequest {
     pub(crate) adapter: AdapterRef,
     /// Engines that may load it, all of one lease group.
-    pub(crate) candidates: Vec<Candidate>,
+    pub(crate) candidates: Vec<EngineCandidate>,
     /// Minimum acceptable version; 0 for any.
     pub(crate) version: u64,
     /// Priority of the route; 0 is the highest.
@@ -57,17 +57,17 @@
         let job = Job {
             adapter: request.adapter.clone(),
             version: request.version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: request.priority,
-                since: now,
-                aim: now + request.objective_ms,
+                arrived_ms: now,
+                start_by_ms: now + request.objective_ms,
             },
             ticket: Some(ticket.clone()),
             extra_ms: candidate.extra_ms,
             expires_at_ms: now + request.start_timeout.as_millis() as u64,
             wait_reason: "",
         };
-        let jobs = node.keepers.jobs().get(&candidate.target).cloned();
+        let jobs = node.controllers.jobs().get(&candidate.target).cloned();
         offered |= jobs.is_some_and(|j| j.try_send(job).is_ok());
     }
     if !offered {
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -3,8 +3,8 @@
 use comfreyhall_domain::AdapterRef;
 use tokio::sync::mpsc;
 
-use super::{Candidate, PlacementRequest, place_adapter};
-use crate::quiet::node;
+use super::{EngineCandidate, PlacementRequest, place_adapter};
+use crate::test_node::node;
 
 /// Guards against requests that keep asking for an engine that is gone. Its
 /// controller finds that it takes no commands and drops the request; if the
@@ -14,7 +14,7 @@
 async fn ensure_gone_engine_is_named() {
     let node = node();
     let (send, mut jobs) = mpsc::channel(1);
-    node.keepers.jobs().insert("e".into(), send);
+    node.controllers.jobs().insert("e".into(), send);
     tokio::spawn(async move {
         let job = jobs.recv().await.unwrap();
         let done = job.claim();
@@ -26,7 +26,7 @@
             model: "m".into(),
             adapter: Some("a".into()),
         },
-        candidates: vec![Candidate {
+        candidates: vec![EngineCandidate {
             target: "e".into(),
             extra_ms: 0,
         }],
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -182,7 +182,7 @@
         let service = config.services.get(&t.service);
         service.is_some_and(|s| s.engine.is_some())
     });
-    let mut out: Vec<Name> = engines.map(|t| t.domain.clone()).collect();
+    let mut out: Vec<Name> = engines.map(|t| t.failure_domain.clone()).collect();
     out.sort();
     out.dedup();
     out
@@ -201,7 +201,7 @@
         let former = former_leases(&node, &rows).await;
         loop {
             let term = Duration::from_millis(node.settings().bounds.lease_ms);
-            if node.leaving() {
+            if node.draining() {
                 let kept = release_all(&leases, term).await;
                 hand_over_groups(&node, &kept).await;
                 return;
@@ -248,7 +248,9 @@
     }
     let limit = Duration::from_millis(settings.bounds.lease_ms) / STEP_TIMEOUT_DIVISOR;
     let why =
-        match tokio::time::timeout(limit, comfreyhall_lease::held_by(rows, &settings.id)).await {
+        match tokio::time::timeout(limit, comfreyhall_lease::leases_held_by(rows, &settings.id))
+            .await
+        {
             Ok(Ok(names)) => return names.into_iter().collect(),
             Ok(Err(e)) => e.to_string(),
             Err(_) => "no answer in time".to_string(),
@@ -308,7 +310,7 @@
     let ahead = node.fleet.precedence(group, node.now());
     // Without the age check, the first of 195 daemons to be ready knew of no
     // other yet, and acquired the leases of four domains out of five.
-    let stranger = *node.settings().domain != **group && node.age() < VACANT_TERMS * term_ms;
+    let stranger = *node.settings().domain != **group && node.uptime_ms() < VACANT_TERMS * term_ms;
     let class = match (ahead.better, node.fleet.is_underpowered() || stranger) {
         (true, _) => VACANT_TERMS * term_ms,
         (false, true) => term_ms,
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Job, LOOK_MS, send::UNREACHED_MS};
 use crate::{
@@ -33,7 +33,7 @@
         let now = self.node.now();
         let view = self.node.view();
         let known = view.targets.get(&plan.target.id);
-        known.is_some_and(|t| view.takes(t, &self.service, now))
+        known.is_some_and(|t| view.accepts(t, &self.service, now))
     }
 
     /// Has the holder of the planned group choose the engine, which becomes
@@ -61,7 +61,7 @@
             // The holder is left out now; what needs no load needs no holder.
             Err(Unbound::Unanswered) if !plan.loads => Found::Engine,
             Err(Unbound::TooLong(ms)) => {
-                self.close_group(&plan.target.domain);
+                self.close_group(&plan.target.failure_domain);
                 Found::TooLong(ms)
             }
             Err(why) => {
@@ -74,12 +74,12 @@
     fn wanted(&self, plan: &Plan, run: u64, may_wait: bool) -> Bind {
         Bind {
             run,
-            group: plan.target.domain.clone(),
+            group: plan.target.failure_domain.clone(),
             service: self.service.clone(),
             need: self.need.clone(),
             version: plan.version,
             priority: self.rank,
-            aim_ms: self.route.target_ms,
+            aim_ms: self.route.objective_ms,
             spent_ms: self.node.now() - self.began,
             left_ms: self.left(),
             tried: self.tried.clone(),
@@ -102,11 +102,11 @@
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Standing::Held(bound.version);
-            view.residency.note(adapter, &bound.target, standing, now);
+            let standing = Presence::Held(bound.version);
+            view.residency.record(adapter, &bound.target, standing, now);
         }
         if bound.hot {
-            view.heat(adapter, now);
+            view.mark_hot(adapter, now);
         }
         let Some(target) = view.targets.get(&bound.target).cloned() else {
             log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
@@ -124,20 +124,23 @@
     /// Takes no engine of `group` for this request.
     fn close_group(&mut self, group: &str) {
         let view = self.node.view();
-        let engines = view.targets.values().filter(|t| *t.domain == *group);
+        let engines = view
+            .targets
+            .values()
+            .filter(|t| *t.failure_domain == *group);
         let engines: Vec<Name> = engines.map(|t| t.id.clone()).collect();
         drop(view);
         self.closed.extend(engines);
     }
 
     async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
-        self.close_group(&plan.target.domain);
+        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
+        self.close_group(&plan.target.failure_domain);
         if let Unbound::Unplaced { gone, .. } = why {
             let until = self.node.now() + UNREACHED_MS;
             for target in gone {
                 // Every other request would ask for a place there too.
-                self.node.view().dead.insert(target, until);
+                self.node.view().unavailable_until.insert(target, until);
             }
         }
         // All were closed: begin again rather than give up early.
