--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -1,11 +1,12 @@
-//! Caps of workspaces and limits of targets, kept together with the other
+//! Quotas of workspaces and limits of targets, enforced together with the other
 //! daemons.
 //!
-//! A request takes credit of its workspace before it waits for anything, so that
-//! one over the cap is refused at once and costs the others nothing; each of its
-//! sends takes credit of a limited target right before it ([`Credit`]). A meter
-//! decides (`comfreyhall-workspace`), one for workspaces and one for targets;
-//! this duty tells it who is there, and carries its calls to the homes.
+//! A request reserves credit of its workspace before it waits for anything, so
+//! that one over the quota is rejected at once and costs the others nothing.
+//! Each of its sends reserves credit of a limited target right before it
+//! ([`Credit`]). The decisions are made by a meter (`comfreyhall-workspace`),
+//! one for workspaces and one for targets; this module tells the meters which
+//! daemons there are, and carries their calls to the quota coordinators.
 
 mod settle;
 mod wire;
@@ -29,25 +30,25 @@
 };
 use crate::{clock, leases, node::Node, outbound};
 
-/// Pause before a request that nobody could be asked for looks again, in ms.
+/// Interval at which a request retries while no coordinator is known, in ms.
 const RETRY_POLL_MS: u64 = 40;
 
 /// The group of workspaces where no group of engines is known.
 const DEFAULT_GROUP: &str = "fleet";
 
-/// What caps bound the use of.
+/// What a quota limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaKind {
     /// Workspaces, as configured.
     Workspaces,
-    /// Targets, as they say themselves.
+    /// Targets, by the limits they announce.
     Targets,
 }
 
 impl QuotaKind {
-    /// Longest that a request waits for the answer of a home, in ms: it takes
-    /// some ms, and some tens on a busy core. A request that gets no credit of
-    /// one target has others to go to.
+    /// Longest wait of a request for a coordinator's answer, in ms: it takes a
+    /// few ms, and some tens on a busy core. A request that gets no credit of
+    /// one target can use others.
     fn answer_ms(self) -> u64 {
         match self {
             QuotaKind::Workspaces => 250,
@@ -56,18 +57,19 @@
     }
 }
 
-/// Caps of one kind as this daemon keeps them.
+/// Quotas of one kind on this daemon.
 pub(crate) struct Quotas {
     kind: QuotaKind,
     state: Mutex<State>,
-    /// Told when a home has answered.
+    /// Notified when a coordinator has answered.
     answered: Notify,
 }
 
 #[derive(Default)]
 struct State {
     meter: Option<Box<dyn RateLimiter>>,
-    /// The configuration that the meter has, and over which groups it is spread.
+    /// Version of the configuration that the meter has, and the groups it is
+    /// distributed over.
     version: u64,
     groups: Vec<Name>,
     /// Limits that the meter of targets has.
@@ -77,14 +79,14 @@
 /// Why a request gets no credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaError {
-    /// Its workspace is over its cap.
+    /// Its workspace is over its quota.
     Exceeded {
-        /// Until there is room for it, in ms.
+        /// Time until there is room for it, in ms.
         retry_ms: u64,
     },
-    /// Nobody in hearing knows how much the others use.
+    /// No reachable daemon knows how much the others use.
     Unknown {
-        /// Until that may be known, in ms.
+        /// Time until that may be known, in ms.
         retry_ms: u64,
     },
 }
@@ -102,7 +104,7 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Whether there is any cap.
+    /// Whether there is any quota.
     pub(crate) fn in_use(&self) -> bool {
         let state = self.state();
         match self.kind {
@@ -111,21 +113,21 @@
         }
     }
 
-    /// Sees that the meter has the caps of `config`.
+    /// Ensures that the meter has the quotas of `config`.
     pub(crate) fn sync_config(&self, node: &Node, config: &Config) {
         if self.state().version != config.version {
             refresh(node, self.kind);
         }
     }
 
-    /// Ms until asking for a unit of `name` is of use.
+    /// Time in ms until a unit of `name` may be available.
     pub(crate) fn unavailable_ms(&self, name: &str, now: u64) -> u64 {
         let state = self.state();
         let meter = state.meter.as_ref();
         meter.map_or(0, |m| m.retry_after_ms(name, 1, now))
     }
 
-    /// Whether more of `name` could be used than is, as far as is known here.
+    /// Whether `name` has unused units, as far as is known here.
     pub(crate) fn has_spare(&self, name: &str, now: u64) -> bool {
         let state = self.state();
         state
@@ -134,14 +136,14 @@
             .is_some_and(|m| m.has_surplus(name, now))
     }
 
-    /// Takes a unit of `name` if it is to be had here and now.
+    /// Takes a unit of `name` if one is available here and now.
     pub(crate) fn take_local(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
         let taken = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
         taken == Some(ReserveOutcome::Granted)
     }
 
-    /// What a refusal by the cap of `name` rests on.
+    /// The data behind a rejection by the quota of `name`.
     pub(crate) fn basis(&self, name: &str, now: u64) -> QuotaSnapshot {
         let state = self.state();
         let meter = state.meter.as_ref();
@@ -149,7 +151,7 @@
     }
 }
 
-/// The groups that caps are spread over.
+/// The groups that quotas are distributed over.
 pub(crate) fn groups(node: &Node) -> Vec<Name> {
     let mut groups = leases::groups(node);
     if groups.is_empty() {
@@ -158,7 +160,7 @@
     groups
 }
 
-/// Gives the meter the caps in force, if it has others.
+/// Updates the meter if other quotas are active now.
 pub(crate) fn refresh(node: &Node, of: QuotaKind) {
     match of {
         QuotaKind::Workspaces => refresh_workspaces(node),
@@ -208,7 +210,7 @@
     update_members(node, QuotaKind::Workspaces, &mut state);
 }
 
-/// Tells the meter who is there.
+/// Tells the meter which daemons there are.
 fn update_members(node: &Node, of: QuotaKind, state: &mut State) {
     let met = settle::coordinators(node, of, &state.groups);
     if let Some(meter) = &mut state.meter {
@@ -216,7 +218,7 @@
     }
 }
 
-/// This process, as a home.
+/// This process, as a quota coordinator.
 fn own_home(node: &Node) -> PeerProcess {
     PeerProcess {
         peer_addr: node.fleet.peer_addr().into(),
@@ -238,7 +240,7 @@
     }
 }
 
-/// Takes credit of `size` units of `name` for a request.
+/// Reserves credit of `size` units of `name` for a request.
 pub(crate) async fn reserve(
     node: &Arc<Node>,
     kind: QuotaKind,
@@ -282,8 +284,8 @@
     }
 }
 
-/// Waits until the home of `name` has answered `call`, at most until `until`;
-/// false if it has not.
+/// Waits until the coordinator of `name` has answered `call`, at most until
+/// `until`; returns false if it has not.
 async fn await_answer(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
     let caps = node.quotas_of(of);
     loop {
@@ -308,7 +310,7 @@
     }
 }
 
-/// Credit of one request; what was not sent goes back when it is dropped.
+/// Credit of one request; the unsent part is returned when it is dropped.
 pub(crate) struct Credit {
     node: Arc<Node>,
     of: QuotaKind,
@@ -333,14 +335,16 @@
         }
     }
 
-    /// The request is about to be sent. Its own repeats cost no more.
+    /// Marks the request as about to be sent. Retries of the request cost no
+    /// more.
     pub(crate) fn mark_sent(&mut self) {
         if !std::mem::replace(&mut self.sent, true) {
             self.with(|meter, name, size| meter.mark_sent(name, size));
         }
     }
 
-    /// The request has surely not run and is not sent any more.
+    /// Returns the credit of a request that has certainly not run and will not
+    /// be sent again.
     pub(crate) fn refund(mut self) {
         if std::mem::replace(&mut self.sent, false) {
             self.with(|meter, name, size| meter.refund(name, size));
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -1,4 +1,4 @@
-//! Settling with the homes of workspaces.
+//! Settlement with the quota coordinators of workspaces and targets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,17 +8,17 @@
 use super::{QuotaKind, Quotas, own_home, refresh, wire};
 use crate::{leases, node::Node, outbound};
 
-/// Pause between looks at which homes are due.
+/// Interval between checks which coordinators are due.
 const POLL: Duration = Duration::from_millis(100);
 
-/// Longest one call may take: requests wait for it.
+/// Longest duration of one call: requests wait for it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Silence of the store, also through others, after which there may be daemons
-/// that nobody in hearing has heard of, in ms.
+/// Silence of the store, direct and through others, after which there may be
+/// daemons that no reachable one knows, in ms.
 const STALE_MS: u64 = 10_000;
 
-/// Starts the duty.
+/// Starts the settlement task.
 pub(crate) fn spawn(node: &Arc<Node>) {
     let node = node.clone();
     tokio::spawn(async move {
@@ -40,7 +40,7 @@
     });
 }
 
-/// Who is there, as the meter is told.
+/// Coordinators and fleet size, as passed to the meter.
 pub(super) struct Coordinators {
     pub(super) homes: Map<Name, PeerProcess>,
     pub(super) fleet: FleetView,
@@ -55,11 +55,11 @@
     }
 }
 
-/// The homes of `groups`: the holder of a group's lease, and while none is
-/// known, the daemon that comes first for the group.
+/// Returns the coordinators of `groups`: the holder of a group's lease, and
+/// while none is known, the first daemon in the order for the group.
 ///
-/// Limits of targets rest on there being one home at a time, so where there are
-/// leases nobody stands in for their holders.
+/// Limits of targets require a single coordinator at a time, so where there are
+/// leases nobody substitutes for their holders.
 pub(super) fn coordinators(node: &Node, of: QuotaKind, groups: &[Name]) -> Coordinators {
     let now = node.now();
     let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
@@ -96,7 +96,7 @@
     }
 }
 
-/// Calls the homes that are due.
+/// Calls the coordinators that are due.
 pub(super) fn settle_due(node: &Arc<Node>, of: QuotaKind) {
     let now = node.now();
     let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Calls the home of `group`, whether or not it is due.
+/// Calls the coordinator of `group`, whether it is due or not.
 pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
     let now = node.now();
     let mut met = coordinators(node, of, std::slice::from_ref(&group));
@@ -169,7 +169,8 @@
     caps.answered.notify_waiters();
 }
 
-/// Whether nothing listens there any more: the process has ended.
+/// Whether the connection was refused: nothing listens there, so the process
+/// has ended.
 fn connection_refused(status: &tonic::Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(e) = cause {
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -1,4 +1,4 @@
-//! Settling, as messages between daemons.
+//! Settlement messages between daemons.
 
 use std::sync::Arc;
 
@@ -15,8 +15,8 @@
     }
 }
 
-/// A call about caps `of` workspaces or targets. One about targets bears what
-/// they told this daemon.
+/// Encodes a call about quotas of workspaces or targets. One about targets
+/// includes the notices that they sent to this daemon.
 pub(super) fn call(node: &Node, of: QuotaKind, call: &SettleRequest) -> CapCall {
     let lines = call.lines.iter().map(|l| CapLine {
         workspace: l.workspace.clone(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// A number of units as another daemon told it; nonsense is none.
+/// Reads a number of units from another daemon; an invalid one counts as zero.
 fn valid_units(told: f64) -> f64 {
     if told.is_finite() { told.max(0.0) } else { 0.0 }
 }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Answers another daemon that settles here.
+/// Answers a settlement call of another daemon.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
     let of = kind_from_wire(message.of());
     outbound::merge_notices(node, &message.words, &message.from);
--- a/crates/comfreyhall-node/src/clock.rs
+++ b/crates/comfreyhall-node/src/clock.rs
@@ -1,8 +1,8 @@
-//! The daemon's clock: a steady clock that counts suspended time.
+//! The daemon's clock: a monotonic clock that counts suspended time.
 //!
-//! The usual steady clock stands still while an instance is suspended, so a
-//! daemon that was frozen for seconds would trust a lease that others have
-//! taken meanwhile. The boot clock counts that time.
+//! The usual monotonic clock stops while an instance is suspended, so a daemon
+//! that was frozen for seconds would trust a lease that others have acquired
+//! meanwhile. The boot-time clock counts that time.
 
 use std::{
     sync::LazyLock,
@@ -22,7 +22,7 @@
 });
 
 fn boot_clock() -> Duration {
-    // Linux has had this clock since 2.6.39; without it there is no safe lease.
+    // Available since Linux 2.6.39; without it there is no safe lease.
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the boot clock can be read");
     Duration::new(now.tv_sec() as u64, now.tv_nsec() as u32)
 }
@@ -32,12 +32,13 @@
     boot_clock().saturating_sub(origin.boot)
 }
 
-/// Ms since the process first asked, suspended time included; never 0.
+/// Time in ms since the first call in this process, including suspended time;
+/// never 0.
 pub(crate) fn now() -> u64 {
     elapsed().as_millis() as u64 + 1
 }
 
-/// The same as an instant, for leases.
+/// The same time as an `Instant`, for leases.
 pub(crate) fn instant() -> Instant {
     let since = elapsed();
     ORIGIN.steady + since
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -1,8 +1,9 @@
-//! The rows behind what is in force, and applying newer ones.
+//! The rows behind the active configuration and targets, and the application of
+//! newer ones.
 //!
-//! Rows bear versions from one counter of the platform, so a row may come
-//! from the store or from a peer in any order: the newer one wins, and a
-//! daemon that the store turns away learns from those it serves.
+//! Row versions come from one counter of the platform, so a row may come from
+//! the store or from a peer in any order: the newer one wins, and a daemon that
+//! the store rejects learns from its peers.
 
 use std::sync::Arc;
 
@@ -18,18 +19,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct TopicRows {
     pub(crate) rows: Map<Name, Record>,
-    /// Version at which each row last changed in what peers must know.
+    /// Version at which each row last changed in a way that is relevant to
+    /// peers.
     pub(crate) changed_versions: Map<Name, u64>,
     /// Newest version covered.
     pub(crate) version: u64,
-    /// When the store said what is known here, to us or to a peer; of the settings
-    /// [`SettingsTracker`] knows it.
+    /// When the store confirmed the rows, to this daemon or to a peer; for
+    /// settings [`SettingsTracker`] keeps it.
     pub(crate) as_of_ms: u64,
 }
 
 impl TopicRows {
-    /// Ms since the store said what is known here; the most there is if it
-    /// never did.
+    /// Time in ms since the store confirmed the rows; the maximum if it never
+    /// did.
     pub(crate) fn age(&self, now: u64) -> u64 {
         match self.as_of_ms {
             0 => u64::MAX,
@@ -37,7 +39,7 @@
         }
     }
 
-    /// The store said at `at` that this is all.
+    /// Records that the store confirmed the rows as complete at `at`.
     pub(crate) fn confirm(&mut self, at: u64) {
         self.as_of_ms = self.as_of_ms.max(at);
     }
@@ -48,7 +50,7 @@
 pub(crate) struct FactStore {
     pub(crate) settings: TopicRows,
     pub(crate) targets: TopicRows,
-    /// How far the settings reach.
+    /// Synchronization state of the settings.
     pub(crate) settings_sync: SettingsTracker,
 }
 
@@ -61,7 +63,7 @@
     }
 }
 
-/// Where rows came from, and when they were asked for.
+/// Source of rows, and when they were requested.
 #[derive(Debug)]
 pub(crate) struct Provenance {
     pub(crate) way: Source,
@@ -116,12 +118,12 @@
     }
 }
 
-/// Takes one newer row into the view; whether peers must know.
+/// Applies one newer row to the view; returns whether it is relevant to peers.
 ///
-/// A target publishes itself about every second, mostly with nothing new but
-/// the adapters it holds, of which the holder of its lease tells sooner.
-/// Telling peers of each such row came to 1.7 GB between failure domains in
-/// a calm day of 89 daemons and 93 targets, which filled the smaller links.
+/// A target publishes itself about every second, mostly with no change except
+/// in the adapters it holds, which its lease holder reports sooner. Gossip
+/// about each such row came to 1.7 GB between failure domains on a calm day of
+/// 89 daemons and 93 targets, which filled the smaller links.
 fn apply_row(node: &Node, view: &mut View, topic: Topic, fact: &Record, now: u64) -> bool {
     if fact.value.is_none() {
         if topic == Topic::Targets {
@@ -163,9 +165,9 @@
         }
         Ok(Decoded::Target(target)) => {
             view.entry_errors.remove(&fact.key);
-            // Another boot is only looked for when this one is not known:
-            // looking through all targets for each of their entries would
-            // take 4 million comparisons a second with 2,200 targets.
+            // Another boot is searched for only when this one is not known: a
+            // scan of all targets for each of their entries would take 4
+            // million comparisons a second with 2,200 targets.
             if !view.targets.contains_key(&target.id)
                 && let Some(known) = view.boot_of(&target.name)
             {
@@ -202,7 +204,7 @@
     true
 }
 
-/// Notes that `config`, which stands in `fact`, is in force from now on.
+/// Logs that `config`, the content of `fact`, becomes active.
 fn log_active_config(node: &Node, view: &View, config: &Config, fact: &Record) {
     let Some(taken) = view.records.settings_sync.last_applied() else {
         return;
@@ -215,11 +217,11 @@
     log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
-/// Sends nothing new to the target listed under `name`, whose entry cannot be
+/// Stops new requests to the target listed under `name`, whose entry cannot be
 /// read.
 ///
-/// Others write to the table too, so such an entry may stand where a living
-/// target's did: what is known of that target is kept for its next entry.
+/// Other writers use the table too, so such an entry may have replaced that of
+/// a live target: what is known of the target is kept for its next entry.
 fn mark_unreadable(view: &mut View, name: &Name, problem: String) {
     if let Some(known) = view.boot_of(name) {
         let mut target = (*known).clone();
@@ -232,7 +234,8 @@
     }
 }
 
-/// Whether two entries of a target differ in nothing that routes depend on.
+/// Whether two entries of a target are equal in everything that routing depends
+/// on.
 fn routes_alike(a: &Target, b: &Target) -> bool {
     let models = |t: &Target| t.loaded.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
@@ -247,7 +250,7 @@
     view.board.retain(|id| targets.contains_key(id));
 }
 
-/// Marks targets that a full read as of `version` no longer lists as gone.
+/// Removes targets that a full read as of `version` no longer lists.
 pub(crate) fn remove_unlisted(node: &Node, listed: &RecordBatch) {
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Record> = {
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -29,10 +29,10 @@
         .collect()
 }
 
-/// Symptom: requests went to an engine for adapters that it did not hold, and
-/// orders to it were refused as out of sequence. Events: the engine crashes
-/// and starts again under its name, before its entry lapses. Cause: what was
-/// known of the boot before was taken for the new one's.
+/// Guards against requests for adapters that an engine does not hold, and
+/// commands to it that are rejected as out of sequence. The engine crashes and
+/// restarts under its name before its entry expires; the state of the previous
+/// boot must not be assumed for the new one.
 #[test]
 fn apply_new_boot_knows_nothing_of_before() {
     let node = node();
@@ -54,9 +54,9 @@
     assert!(view.residency.held_version(&adapter, &new[0]).is_none());
 }
 
-/// Symptom: an engine that had started again was sent requests of its former
-/// boot. Events: the last entry of that boot is written after the first one
-/// of the new boot. Cause: the newer row was taken for the newer boot.
+/// Guards against sending a restarted engine the requests of its previous boot.
+/// The last entry of that boot is written after the first one of the new boot,
+/// so the newer row does not belong to the newer boot.
 #[test]
 fn apply_late_entry_of_earlier_boot_ignored() {
     let node = node();
@@ -66,15 +66,15 @@
     assert_eq!(ready(&node), new);
 }
 
-/// Symptom: after one odd row no target was known any more. Events: another
-/// writer puts a row that no target wrote. Cause: it was not told from one.
+/// Guards against a single foreign row that hides all targets: another writer
+/// stores a row that is not a target's.
 #[test]
 fn apply_foreign_row_names_no_target() {
     let node = node();
     put(&node, "t", "5 ready", 1);
     put(&node, "odd", "nonsense", 2);
     assert_eq!(ready(&node).len(), 1);
-    // In place of a target's own row it takes only that one out, until the
+    // In place of a target's own row it excludes only that target, until the
     // target writes again; what is known of it stays.
     put(&node, "t", "nonsense", 3);
     assert!(ready(&node).is_empty());
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -1,12 +1,12 @@
-//! Settings that the store does not give are fetched from another daemon.
+//! Fetches settings from another daemon when the store does not provide them.
 //!
-//! Settings may be large and links small, and when the store is away a whole
-//! fleet may lack them. So they do not ride on the reports, which come often and
-//! have little time: a daemon that has heard of a newer version asks one daemon
-//! that has it, and gets it in pieces, which may take as long as the links need.
-//! A daemon hands them to [`GIVEN_AT_ONCE`] others at a time and names those it
-//! has handed them to, so they spread through the fleet and no daemon's link
-//! carries all copies.
+//! Settings may be large and links slow, and when the store is down a whole
+//! fleet may lack them. They are therefore not part of the reports, which are
+//! frequent and have short timeouts: a daemon that has learned of a newer
+//! version asks one daemon that has it, and receives it in chunks, which may
+//! take as long as the links need. A daemon sends them to [`MAX_TRANSFERS`]
+//! others at a time and names the latest recipients, so that they spread
+//! through the fleet and no daemon's link carries all copies.
 
 use std::{
     collections::VecDeque,
@@ -36,35 +36,35 @@
     ports::{Record, RecordBatch, Topic},
 };
 
-/// Daemons that are handed settings at once: with one, a daemon that freezes in the
-/// middle would keep all others waiting; each more makes all of them slower.
+/// Concurrent transfers: with one, a daemon that freezes in the middle would
+/// block all others; each additional one slows down all of them.
 const MAX_TRANSFERS: usize = 2;
 
-/// Daemons named to those that cannot be handed settings now.
+/// Recipients named to daemons that cannot be served now.
 const NAMED: usize = 8;
 
-/// Bytes in one piece.
+/// Bytes in one chunk.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Longest a transfer may be silent, before it begins and within it.
+/// Longest silence before a transfer begins and within it.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest one transfer may take.
+/// Longest duration of one transfer.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause before the next daemon is asked after one had no time or failed, in ms.
+/// Pause before the next daemon is asked after one was busy or failed, in ms.
 const RETRY_PAUSE_MS: std::ops::Range<u64> = 80..240;
 
-/// Pause while no daemon is known that has them.
+/// Pause while no daemon with newer settings is known.
 const NO_SOURCE_PAUSE: Duration = Duration::from_millis(500);
 
-/// The pieces of one transfer.
+/// The chunks of one transfer.
 pub(super) type ChunkStream = Pin<Box<dyn Stream<Item = Result<SettingsPart, Status>> + Send>>;
 
-/// What this daemon hands to others.
+/// Transfers of settings to other daemons.
 pub(super) struct SettingsSender {
     permits: Arc<Semaphore>,
-    /// Peer addresses of those that were given last.
+    /// Peer addresses of the latest recipients.
     recipients: Arc<Mutex<VecDeque<String>>>,
 }
 
@@ -112,7 +112,8 @@
     }
 }
 
-/// Hands the settings over that `ask` lacks, or names others that may have them.
+/// Sends the settings that `ask` lacks, or names other daemons that may have
+/// them.
 pub(super) fn send_settings(node: &Node, ask: &SettingsAsk) -> Result<ChunkStream, Status> {
     let newest = node.view().records.settings_sync.newest();
     if newest <= ask.since {
@@ -140,24 +141,24 @@
     Ok(futures::stream::unfold(transfer, |t| async { t.next() }).boxed())
 }
 
-/// Why settings did not come from another daemon.
+/// Why settings could not be fetched from another daemon.
 #[derive(Debug, Error)]
 enum FetchError {
-    /// It hands them to as many as it can.
+    /// All its transfers are in use.
     #[error("the daemon hands settings to others; asking one of {} that it named", .0.len())]
     Busy(Vec<String>),
-    /// It could not be reached or broke off.
+    /// It could not be reached, or the transfer failed.
     #[error("the daemon did not hand them over ({0}); asking another one")]
     Failed(String),
-    /// It fell silent.
+    /// It stopped sending.
     #[error("the daemon fell silent; asking another one")]
     Silent,
-    /// They cannot be read, or begin after what is known here.
+    /// They cannot be decoded, or do not follow on from what is known here.
     #[error("the settings cannot be used ({0}); asking another one")]
     Unusable(&'static str),
 }
 
-/// Starts the duty.
+/// Starts the task that fetches settings.
 pub(super) fn spawn(node: &Arc<Node>) {
     tokio::spawn(run(node.clone()));
 }
@@ -171,10 +172,10 @@
     }
 }
 
-/// Does what is to be done about a newer version; how long to wait before looking
-/// again, if one is still lacked.
+/// Fetches a newer version if one is known; returns how long to wait before the
+/// next attempt, if it is still missing.
 async fn fetch_missing(node: &Arc<Node>) -> Option<Duration> {
-    // The other parts are left for finding one that has it, and for the transfer.
+    // The other parts are left for finding a source, and for the transfer.
     let patience = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
     let step = node
         .view()
@@ -209,7 +210,7 @@
     Some(Duration::from_millis(pause))
 }
 
-/// Takes in what the daemon at `addr` hands over.
+/// Fetches settings from the daemon at `addr` and applies them.
 async fn fetch(node: &Arc<Node>, addr: &str) -> Result<(), FetchError> {
     let asked = node.now();
     let since = node.view().records.settings_sync.complete_to();
@@ -240,7 +241,7 @@
     Ok(())
 }
 
-/// The pieces of a whole transfer from `addr`.
+/// Receives all chunks of a transfer from `addr`.
 async fn collect(node: &Node, addr: &str, since: u64) -> Result<Bytes, FetchError> {
     let mut client = node.fleet.client_at(addr);
     let ask = SettingsAsk {
@@ -266,7 +267,8 @@
 }
 
 impl Fleet {
-    /// A daemon that has newer settings, drawn among those that have the newest.
+    /// A random one of the daemons with the newest settings, if they are newer
+    /// than those known here.
     fn settings_source(&self, node: &Node) -> Option<Name> {
         let known = node.view().records.settings_sync.complete_to();
         let now = node.now();
@@ -281,7 +283,7 @@
         givers.map(|(a, _)| a.clone()).choose(&mut rand::rng())
     }
 
-    /// A client for the daemon at `addr`, whether it was met or not.
+    /// A client for the daemon at `addr`, whether it is a known peer or not.
     fn client_at(&self, addr: &str) -> FleetClient<Channel> {
         let known = self.client(addr);
         known.unwrap_or_else(|| FleetClient::new(link::channel(addr)))
--- a/crates/comfreyhall-node/src/fleet/fetch/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch/tests.rs
@@ -36,7 +36,8 @@
     pieces.map(|p| p.unwrap()).collect().await
 }
 
-/// Guards against a daemon whose link carries a copy for each daemon of the fleet.
+/// Guards against a daemon whose link carries a copy for each daemon of the
+/// fleet.
 #[tokio::test]
 async fn give_few_at_once_and_names_others() {
     let node = node();
@@ -51,7 +52,7 @@
     assert_eq!(refused.len(), 1);
     assert!(refused[0].piece.is_empty());
     assert_eq!(refused[0].others, ["127.0.0.1:1"]);
-    // One that leaves in the middle makes room.
+    // An aborted transfer makes room.
     drop(open);
     assert!(all(&node, 9).await.len() > 1);
 }
--- a/crates/comfreyhall-node/src/fleet/holding.rs
+++ b/crates/comfreyhall-node/src/fleet/holding.rs
@@ -1,4 +1,4 @@
-//! Who holds the leases on orders, and who is well placed to.
+//! Lease holders, and which daemons are well placed to hold a lease.
 
 use comfreyhall_domain::Name;
 use comfreyhall_protocol::{Cession, Daemon};
@@ -6,26 +6,26 @@
 
 use super::{Fleet, hub};
 
-/// Processor with which a daemon is well placed to hold leases in a large
-/// fleet, in thousandths of a core: reports of 88 daemons and the orders
-/// to thirty engines took 59 to 69 of them.
+/// Processor needed to hold leases in a large fleet, in thousandths of a core:
+/// the reports of 88 daemons and the commands to thirty engines took 59 to 69
+/// of them.
 pub(super) const MIN_HOLDER_MILLICORES: u32 = 250;
 
-/// Who comes before a daemon for a lease.
+/// Daemons that precede this one for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Precedence {
-    /// Whether somebody is better placed.
+    /// Whether any daemon is better placed.
     pub(crate) better: bool,
-    /// How many are as well placed and have an earlier turn.
+    /// Number of equally placed daemons with an earlier turn.
     pub(crate) equals: u64,
 }
 
-/// How long a holder that did not answer is not asked, in ms: a third of the
-/// shortest lease, so that one that is only slow is soon asked again.
+/// How long a holder that did not answer gets no requests, in ms: a third of
+/// the shortest lease, so that a merely slow one is soon asked again.
 const SUSPEND_MS: u64 = 1_000;
 
 impl Fleet {
-    /// Who holds the lease of `group`, other than this daemon.
+    /// The holder of the lease of `group`, other than this daemon.
     pub(crate) fn holder(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
         let answering = state
@@ -38,18 +38,18 @@
         held.max().map(|(_, addr)| addr)
     }
 
-    /// The holder at `addr` did not answer in time: nobody asks it for a while.
+    /// Suspends requests to the holder at `addr`, which did not answer in time.
     ///
-    /// What goes wrong without it: a holder is frozen or cut off, and until it
-    /// counts as lost, some four periods later, each request waits for it.
+    /// Otherwise each request waits for a holder that is frozen or cut off,
+    /// until it counts as lost some four periods later.
     pub(crate) fn suspend_holder(&self, addr: &str, now: u64) {
         if let Some(peer) = self.state().peers.get_mut(addr) {
             peer.suspended_until_ms = now + SUSPEND_MS;
         }
     }
 
-    /// Who should go on with `group` when this daemon stops: a daemon that
-    /// takes requests, in the group's domain if there is one.
+    /// The daemon that should continue `group` when this one stops: one that
+    /// takes requests, in the group's domain if possible.
     pub(crate) fn successor(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
@@ -62,7 +62,7 @@
         ready.min().map(|(_, _, _, addr)| addr)
     }
 
-    /// Tells peers that `to` goes on with `group` under `token`.
+    /// Announces to peers that `to` continues `group` under `token`.
     pub(crate) fn announce_handover(&self, group: &str, token: u64, to: &str) {
         self.state().handovers.push(Cession {
             group: group.to_string(),
@@ -77,8 +77,8 @@
         hub::is_large(self.state().peers.len()) && self.me.millicores < MIN_HOLDER_MILLICORES
     }
 
-    /// Whether the peer at `addr` is in a better place for the lease of
-    /// `group` than this daemon: of its domain, and no weaker.
+    /// Whether the peer at `addr` is better placed for the lease of `group`
+    /// than this daemon: in its domain, and not weaker.
     pub(crate) fn is_better_placed(&self, group: &str, addr: &str) -> bool {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
@@ -88,13 +88,13 @@
         near && self.me.domain != group
     }
 
-    /// Who comes before this daemon for the lease of `group`.
+    /// Returns which daemons precede this one for the lease of `group`.
     ///
-    /// In a large fleet a holder answers everybody's reports, so the daemons
-    /// with clearly more processor come first: on 0.12 of a core holders
-    /// left 2,221 wishes for a place unanswered in 34 s, three quarters of all
-    /// that failed. Then those in the group's domain come first, beside its
-    /// engines.
+    /// In a large fleet a holder answers the reports of all daemons, so daemons
+    /// with clearly more processor come first: with 0.12 of a core, holders
+    /// left 2,221 placement requests unanswered in 34 s, three quarters of all
+    /// that failed. Daemons in the group's domain, next to its engines, come
+    /// next.
     pub(crate) fn precedence(&self, group: &str, now: u64) -> Precedence {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -1,13 +1,13 @@
-//! Large fleets: the holders of leases collect for everybody.
+//! Large fleets: the lease holders aggregate gossip for everybody.
 //!
-//! Swapping news with every daemon costs each of them calls and bytes in
-//! proportion to the fleet; swapping with a random part of it makes news
-//! seconds old. So beyond [`FANOUT`] peers a daemon reports to the holders of
-//! leases only, and they answer with sums: what all others have at the
-//! engines of their groups, and who is alive. A daemon then makes as many
-//! calls as there are groups, whatever the size of the fleet, and knows what
-//! everybody does one [`pace_ms`] late. A few random peers besides keep the
-//! fleet joined when holders change or are cut off.
+//! Exchanging gossip with every daemon costs each of them calls and bytes in
+//! proportion to the size of the fleet, while exchanging it with a random part
+//! makes it seconds old. Beyond [`FANOUT`] peers a daemon therefore reports to
+//! the lease holders only. They answer with totals: the work of all others at
+//! the engines of their groups, and the live daemons. A daemon then makes as
+//! many calls as there are groups, whatever the size of the fleet, and its
+//! knowledge of the others is one [`report_period_ms`] old. A few additional
+//! random peers keep the fleet connected when holders change or are cut off.
 
 use std::hash::{Hash, Hasher};
 
@@ -20,17 +20,16 @@
 use super::{FANOUT, Fleet, GOSSIP_PERIOD_MS, Peer, State};
 use crate::node::Node;
 
-/// Calls a holder answers in a second: at 0.2 ms each (processor time over
-/// calls with 89 daemons, all other work included) 4% of a core, which is below
-/// what a daemon may spend on control.
+/// Calls that a holder answers per second: at 0.2 ms each (processor time over
+/// calls with 89 daemons, including all other work) this takes 4% of a core,
+/// which is below the limit for control traffic.
 const REPORTS_PER_S: u64 = 200;
 
-/// Pause between calls to a random peer while holders are known, in ms.
+/// Interval between calls to a random peer while holders are known, in ms.
 const RANDOM_CALL_MS: u64 = 1_000;
 
-/// Age up to which a summary is handed out again, in ms: a fifth of the age
-/// of the reports it is made from, so that ten are made in a second and not
-/// one for each call.
+/// Maximum age of a reused summary, in ms: a fifth of the age of the underlying
+/// reports, so that ten are made per second instead of one for each call.
 const SUMMARY_TTL_MS: u64 = 100;
 
 /// Whether a fleet of `peers` reports to holders.
@@ -38,12 +37,12 @@
     peers > FANOUT
 }
 
-/// Ms between two reports to the same holder in a fleet of `peers`.
+/// Interval in ms between two reports to the same holder in a fleet of `peers`.
 pub(super) fn report_period_ms(peers: usize) -> u64 {
     (peers as u64 * 1_000 / REPORTS_PER_S).max(GOSSIP_PERIOD_MS)
 }
 
-/// Who is alive, as a holder tells.
+/// Live daemons, as reported by a holder.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
     version: u64,
@@ -51,7 +50,7 @@
 }
 
 impl Roster {
-    /// Which roster it is; 0 for none.
+    /// Version of the roster; 0 for none.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
@@ -75,8 +74,8 @@
 }
 
 impl State {
-    /// Peers to call in a large fleet; `holding`: whether this daemon holds a
-    /// lease itself.
+    /// Peers to call in a large fleet; `holding` tells whether this daemon
+    /// holds a lease itself.
     pub(super) fn due_in_large(&mut self, holding: bool, now: u64) -> Vec<Name> {
         let pace = report_period_ms(self.peers.len());
         let limit = Fleet::alive_ms(self.peers.len());
@@ -86,7 +85,7 @@
         for (addr, peer) in &self.peers {
             let holds = peer.holds() && peer.alive(now, limit);
             known |= holds;
-            // Holders call each other too: only answers bear sums.
+            // Holders call each other as well: only answers carry totals.
             if (holds || peer.holder_hint) && rested(peer) && !peer.calling {
                 out.push(addr.clone());
             }
@@ -109,13 +108,13 @@
         out
     }
 
-    /// Addresses of the holders heard from lately.
+    /// Addresses of the holders seen recently.
     pub(super) fn holders(&self, now: u64) -> Vec<String> {
         let holders = self.heard_recently(now).filter(|(_, p)| p.holds());
         holders.map(|(a, _)| a.to_string()).collect()
     }
 
-    /// Adapters in use at each target by all daemons.
+    /// Number of adapters in use at each target by all daemons.
     fn used(&self, now: u64) -> Map<Name, u32> {
         let mut out: Map<Name, u32> = Map::default();
         for (target, _) in self.pinned(now) {
@@ -124,7 +123,7 @@
         out
     }
 
-    /// Who is alive, `me` included.
+    /// Live daemons, including `me`.
     fn roster(&self, me: Daemon, now: u64) -> Roster {
         let heard = self
             .heard_recently(now)
@@ -135,13 +134,14 @@
     }
 }
 
-/// What a holder tells all daemons, but for each daemon's own part.
+/// The part of a holder's answers that is the same for all daemons, before each
+/// daemon's own work is subtracted.
 #[derive(Debug, Default)]
 pub(super) struct Summary {
     /// When it was made; 0 for never.
     made_at_ms: u64,
     roster: Roster,
-    /// Work of all daemons at the targets of the groups held.
+    /// Work of all daemons at the targets of the held groups.
     totals: Vec<(Name, TargetTotal)>,
 }
 
@@ -151,8 +151,8 @@
         is_large(self.state().peers.len())
     }
 
-    /// Whether a holder of leases, other than this daemon, tells it what is
-    /// known in a large fleet.
+    /// Whether this daemon gets the state of a large fleet from a lease holder
+    /// other than itself.
     pub(crate) fn reports_to_holders(&self, node: &Node) -> bool {
         let holding = node.leases.holds_any(node.settings().bounds.fencing);
         let state = self.state();
@@ -161,8 +161,8 @@
             && state.heard_recently(node.now()).any(|(_, p)| p.holds())
     }
 
-    /// Adds what a holder tells in a large fleet to the answer for the daemon
-    /// `asker`, which has the roster `known`.
+    /// Adds a holder's totals to the answer for the daemon `asker` in a large
+    /// fleet; `known` is the version of the roster that it has.
     pub(super) fn add_totals(&self, node: &Node, asker: &Daemon, known: u64, news: &mut News) {
         if !self.is_large() || news.holdings.is_empty() {
             return;
@@ -172,7 +172,7 @@
             let summary = self.summarize(node, news, now);
             self.state().summary = summary;
         }
-        // The view is locked before the state elsewhere.
+        // Lock order: the view before the state.
         let view = node.view();
         let state = self.state();
         let Summary { roster, totals, .. } = &state.summary;
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Takes in who is said to hold leases in a large fleet.
+    /// Adds the daemons that are reported to hold leases in a large fleet.
     pub(super) fn learn_holders(&self, holders: &[String], now: u64) {
         for addr in holders {
             self.add_peer(addr, false);
@@ -229,7 +229,7 @@
         self.state().mark_holders(holders, now);
     }
 
-    /// Takes in what a holder's answer tells in a large fleet.
+    /// Applies the totals of a holder's answer in a large fleet.
     pub(super) fn learn_totals(&self, node: &Node, from: &Daemon, news: &News, now: u64) {
         if news.roster_version == 0 || news.holdings.is_empty() {
             return;
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Counts the members of a holder's roster as alive.
+    /// Marks the members of a holder's roster as alive.
     fn learn_roster(&self, from: &Daemon, news: &News, now: u64) {
         for member in &news.roster {
             self.add_peer(&member.peer, false);
@@ -284,7 +284,7 @@
 }
 
 impl State {
-    /// Has daemons that are said to hold leases called soon.
+    /// Schedules a call to daemons that are reported to hold leases.
     fn mark_holders(&mut self, holders: &[String], now: u64) {
         let limit = Fleet::alive_ms(self.peers.len());
         for addr in holders {
@@ -298,11 +298,11 @@
 }
 
 impl Peer {
-    /// A holder has heard from it lately.
+    /// Records that a holder has seen it recently.
     fn confirm_alive(&mut self, member: &Daemon, now: u64) {
         self.vouched_at_ms = now;
         let known = self.daemon.as_ref();
-        // What it told itself is newer than a roster of the same process.
+        // Its own report is newer than a roster of the same process.
         let newer = now.saturating_sub(self.heard_at_ms) > GOSSIP_PERIOD_MS;
         if known.is_none_or(|k| k.boot != member.boot) || newer {
             self.daemon = Some(member.clone());
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -1,10 +1,10 @@
-//! How many daemons there may be.
+//! Upper bound on the number of daemons.
 //!
-//! Caps are divided by this number, so it must not be too small: a daemon that
-//! knows of few others takes its part of a cap for larger than it is. It is
-//! certain only once the store has told who there is, or somebody who knows it
-//! from there. Whoever was heard of counts until it is forgotten, also when it
-//! is out of hearing: it may serve requests where it is.
+//! Quotas are divided by this number, so it must not be too small: a daemon
+//! that knows few others would overestimate its share of a quota. It is certain
+//! only once the list was read from the store, here or by a peer that reports
+//! it. A known daemon counts until it is forgotten, even when it is
+//! unreachable: it may still serve requests.
 
 use comfreyhall_domain::Name;
 use comfreyhall_routing::selection::rendezvous_rank;
@@ -12,13 +12,13 @@
 use super::{Fleet, holding::MIN_HOLDER_MILLICORES, hub};
 
 impl Fleet {
-    /// The store has told who there is.
+    /// Records that the member list was read from the store.
     pub(crate) fn mark_members_listed(&self) {
         self.state().members_listed = true;
     }
 
-    /// Daemons that may serve requests, this one included; `None` if there may
-    /// be more than are known of.
+    /// Daemons that may serve requests, including this one; `None` if there may
+    /// be more than are known.
     pub(crate) fn members(&self, now: u64) -> Option<usize> {
         let state = self.state();
         let told = state
@@ -30,12 +30,14 @@
         certain.then(|| told.max(state.peers.len() + 1))
     }
 
-    /// The same for news, from own knowledge; 0 if it is not certain.
+    /// The same for gossip, from the daemon's own knowledge; 0 if it is not
+    /// certain.
     pub(super) fn certain_members(&self) -> u32 {
         let mut state = self.state();
         let told = state.peers.values().map(|p| p.members).max().unwrap_or(0);
         if told > 0 && state.peers.len() + 1 >= told {
-            // Everybody that a daemon knew who knew them from the store.
+            // All daemons known to a peer that has the member list are known
+            // here.
             state.members_listed = true;
         }
         match state.members_listed {
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Since when the daemon at `peer` is known.
+    /// When the daemon at `peer` became known.
     pub(crate) fn known_since_ms(&self, peer: &str) -> Option<u64> {
         self.state().peers.get(peer).map(|p| p.met_at_ms)
     }
 
-    /// The daemon alive that comes first for `group` while nobody holds its
-    /// lease: one with much processor, if there is one.
+    /// The first live daemon in the order for `group`, used while nobody holds
+    /// its lease; daemons with enough processor come first.
     pub(crate) fn preferred_daemon(&self, group: &str, now: u64) -> Option<Name> {
         let state = self.state();
         let large = hub::is_large(state.peers.len());
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! The other daemons, and telling each other what is known.
+//! Peer exchange: the other daemons, and gossip with them.
 //!
-//! Every period a daemon swaps news with its peers, one call a pair for both
-//! directions: what it has at each target (so that estimates count
-//! everyone's work), which leases it holds, which adapters it has just
-//! placed, what was asked for. A daemon that the store turns away gets newer
-//! rows from its peers the same way. Whoever was not heard from lately is
-//! not handed out to callers. In a large fleet ([`hub`]) news goes through
-//! the holders of leases.
+//! Once per period a daemon exchanges gossip with each peer, in one call per
+//! pair for both directions: its work at each target (so that estimates include
+//! everyone's work), the leases it holds, the adapters it has just placed, and
+//! the demand it has seen. A daemon that the store rejects gets newer rows from
+//! its peers in the same way. Addresses of peers that were not seen recently
+//! are not given to callers. In a large fleet ([`hub`]) gossip goes through the
+//! lease holders.
 
 mod fetch;
 mod holding;
@@ -45,85 +45,87 @@
 use self::runs::Runs;
 use crate::{clock, node::Node};
 
-/// Period of the news, in ms: the wait estimate is then at most a quarter of
-/// a second old, about the time of one prompt.
+/// Gossip period in ms. It keeps the wait estimate at most a quarter of a
+/// second old, about the duration of one prompt.
 const GOSSIP_PERIOD_MS: u64 = 250;
 
-/// Peers told in one period. With more daemons than this, news goes through
-/// the holders of leases, which keeps the cost of a daemon constant.
+/// Peers called in one period. With more daemons than this, gossip goes through
+/// the lease holders, which keeps the cost of a daemon constant.
 const FANOUT: usize = 16;
 
-/// Reports that may be missing before a peer is not handed out, so that a
-/// few lost calls do not take it out.
+/// Missing reports after which a peer's address is no longer given to callers,
+/// so that a few lost calls do not exclude it.
 const ALIVE_PERIODS: u64 = 4;
 
-/// Most addresses in one answer, as callers take them.
+/// Maximum number of addresses in one answer that callers accept.
 const MAX_ADDRESSES: usize = 64;
 
-/// How long callers may keep an address answer. Some keep it three times as
-/// long, and a stopping daemon serves that long at least.
+/// How long callers may cache an address answer. Some keep it three times as
+/// long, and a stopping daemon serves at least that long.
 const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
-/// Placements remembered for peers that have not heard of them.
+/// Placements remembered for peers that have not received them yet.
 const MAX_PLACEMENTS: usize = 512;
 
 struct Peer {
     client: FleetClient<Channel>,
     seed: bool,
     daemon: Option<Daemon>,
-    /// When its address was first heard of.
+    /// When its address became known.
     met_at_ms: u64,
     heard_at_ms: u64,
-    /// When a holder of leases last counted it as alive.
+    /// When a lease holder last reported it as alive.
     vouched_at_ms: u64,
     called_at_ms: u64,
     calling: bool,
-    /// Said to hold a lease, and not asked yet.
+    /// Reported to hold a lease, and not called yet.
     holder_hint: bool,
     roster: hub::Roster,
-    /// Adapters in use by others at targets of its groups, if it told.
+    /// Adapters in use by others at targets of its groups, if it reported them.
     reported_use: Map<Name, u32>,
     holdings: Vec<(Name, u64)>,
-    /// Its runs at engines, as it told or as they were bound here.
+    /// Its runs at engines, as it reported them or as they were bound here.
     runs: Runs,
-    /// Not asked for engines before this: it did not answer in time.
+    /// Receives no placement requests before this, because it did not answer in
+    /// time.
     suspended_until_ms: u64,
-    /// Newest settings row it knows.
+    /// Newest settings row it has.
     settings_version: u64,
-    /// Version of the targets it knows.
+    /// Version of its targets.
     targets_version: u64,
-    /// Whether it cannot read the settings in the store by itself.
+    /// Whether it cannot read the settings from the store itself.
     cut_off: bool,
-    /// Daemons that may serve requests, as it told; 0 if it does not know.
+    /// Daemons that may serve requests, by its own count; 0 if it does not
+    /// know.
     members: usize,
     demands: Map<Name, u32>,
-    /// First placement it has not been told.
+    /// First placement not sent to it yet.
     untold_from: u64,
-    /// Number of the last finding it has heard from this daemon.
+    /// Serial of the last finding it has received from this daemon.
     findings_acked: u64,
-    /// Its findings that this daemon has heard.
+    /// Its findings that this daemon has received.
     findings_heard: SyncPosition,
-    /// Its clock in its last news.
+    /// Its clock in its last gossip message.
     clock_ms: u64,
 }
 
 #[derive(Default)]
 struct State {
-    /// By peer address.
+    /// Keyed by peer address.
     peers: Map<Name, Peer>,
-    /// Requests that wait for an adapter at a target of ours.
+    /// Requests that wait for an adapter at a target managed here.
     pins: Map<(Name, AdapterRef), u32>,
     /// Runs of this daemon at engines.
     runs: Runs,
     placements: VecDeque<(u64, Placed)>,
     next_placement: u64,
-    /// Groups this daemon handed on.
+    /// Groups this daemon handed over.
     handovers: Vec<Cession>,
-    /// What daemons that report here are told.
+    /// Cached part of the answers to daemons that report here.
     summary: hub::Summary,
-    /// Whether the store has told this process who there is.
+    /// Whether this process has read the list of members from the store.
     members_listed: bool,
-    /// When a peer was last called by chance, in a large fleet.
+    /// When a random peer was last called, in a large fleet.
     random_call_ms: u64,
 }
 
@@ -133,25 +135,26 @@
     state: Mutex<State>,
     /// Number of the next run.
     next_run: AtomicU64,
-    /// Settings handed to other daemons.
+    /// Transfers of settings to other daemons.
     settings_sender: fetch::SettingsSender,
-    /// Wakes the duty that fetches settings.
+    /// Wakes the task that fetches settings.
     fetch_wanted: Notify,
-    /// Where events of runs are put to be told to holders.
+    /// Queue of run updates to be reported to lease holders.
     updates_tx: mpsc::Sender<RunUpdate>,
     updates_rx: Mutex<Option<mpsc::Receiver<RunUpdate>>>,
 }
 
-/// How news came.
+/// How a gossip message arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// A peer called.
+    /// In a call from a peer.
     Call,
-    /// A peer answered a call of ours: only answers bear sums and rosters.
+    /// In the answer to a call of this daemon; only answers carry totals and
+    /// rosters.
     Answer,
 }
 
-/// `model/adapter`.
+/// Formats an adapter as `model/adapter`.
 pub(crate) fn adapter_key(adapter: &AdapterRef) -> Name {
     format!(
         "{}/{}",
@@ -184,8 +187,8 @@
         let fleet = Self {
             me,
             state: Mutex::default(),
-            // A daemon that starts again must not go on with numbers that it
-            // had before: holders still know some of those runs.
+            // After a restart the numbers must not overlap with earlier ones:
+            // holders still know some of those runs.
             next_run: AtomicU64::new(rand::rng().random::<u64>() >> 1),
             settings_sender: fetch::SettingsSender::default(),
             fetch_wanted: Notify::new(),
@@ -198,7 +201,7 @@
         fleet
     }
 
-    /// How long a peer may be silent, in ms, in a fleet of `peers`.
+    /// Longest silence of a live peer, in ms, in a fleet of `peers`.
     fn alive_ms(peers: usize) -> u64 {
         ALIVE_PERIODS * hub::report_period_ms(peers)
     }
@@ -241,8 +244,8 @@
         });
     }
 
-    /// Whether the peer at `addr` has been out of everybody's hearing for so
-    /// long that it is taken for gone.
+    /// Whether the peer at `addr` has not been seen by anybody for so long that
+    /// it counts as gone.
     pub(crate) fn is_lost(&self, addr: &str, now: u64) -> bool {
         let state = self.state();
         state.peers.get(addr).is_some_and(|p| {
@@ -251,7 +254,7 @@
         })
     }
 
-    /// Whether this daemon's address is the smallest of those alive.
+    /// Whether this daemon's address is the lowest of those alive.
     pub(crate) fn has_lowest_addr(&self, now: u64) -> bool {
         let state = self.state();
         state
@@ -259,14 +262,14 @@
             .all(|(addr, _)| *self.me.peer < **addr)
     }
 
-    /// Daemons alive now, this one included.
+    /// Daemons alive now, including this one.
     pub(crate) fn size(&self, now: u64) -> usize {
         let state = self.state();
         1 + state.alive_peers(now).count()
     }
 
-    /// How many daemons alive come before this one for `key`: each key has an
-    /// order of its own, the same at all daemons that know of each other.
+    /// Number of live daemons ranked before this one for `key`. Each key has
+    /// its own order, which is the same on all daemons that know each other.
     pub(crate) fn rank(&self, key: &str, now: u64) -> usize {
         let own = selection::rendezvous_rank(key, &self.me.peer);
         let state = self.state();
@@ -277,7 +280,7 @@
             .count()
     }
 
-    /// Has the duty that fetches settings look whether there is something to do.
+    /// Wakes the task that fetches settings.
     pub(crate) fn wake_fetch(&self) {
         self.fetch_wanted.notify_one();
     }
@@ -299,27 +302,27 @@
         }
     }
 
-    /// A number for a run of this daemon.
+    /// Returns an id for a run of this daemon.
     pub(crate) fn next_run_id(&self) -> u64 {
         self.next_run.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A run of this daemon is sent to its engine.
+    /// Records that a run of this daemon is being sent to its engine.
     pub(crate) fn start_run(&self, id: u64, run: Run) {
         self.state().runs.begin(id, run);
     }
 
-    /// The engine has read the prompt of a run of this daemon.
+    /// Records that the engine has read the prompt of a run of this daemon.
     pub(crate) fn mark_prompt_read(&self, id: u64) {
         self.state().runs.mark_prompt_read(id);
     }
 
-    /// A run of this daemon has ended.
+    /// Records that a run of this daemon has ended.
     pub(crate) fn end_run(&self, id: u64) {
         self.state().runs.end(id);
     }
 
-    /// Counts a run of the daemon at `peer`, which it is about to send.
+    /// Counts a run that the daemon at `peer` is about to send.
     pub(crate) fn add_bound_run(&self, node: &Node, peer: &str, id: u64, run: Run) {
         let until = node.now() + self.liveness_ms();
         let mut state = self.state();
@@ -335,7 +338,7 @@
         node.view().board.add_peer_work(&name, &target, work, until);
     }
 
-    /// How long a daemon may be silent, in ms.
+    /// Longest silence of a live daemon, in ms.
     fn liveness_ms(&self) -> u64 {
         Self::alive_ms(self.state().peers.len())
     }
@@ -357,7 +360,7 @@
         out
     }
 
-    /// Adapters in use at targets, as holders of leases tell.
+    /// Number of adapters in use at targets, as reported by lease holders.
     pub(crate) fn reported_in_use(&self, now: u64) -> Map<Name, u32> {
         let state = self.state();
         let told = state
@@ -366,7 +369,7 @@
         told.map(|(t, n)| (t.clone(), *n)).collect()
     }
 
-    /// A request for `adapter` was served: holders want to know.
+    /// Records a served request for `adapter`, to be reported to lease holders.
     pub(crate) fn record_demand(&self, key: &Name) {
         for peer in self.state().peers.values_mut() {
             if !peer.holdings.is_empty() {
@@ -375,7 +378,8 @@
         }
     }
 
-    /// An adapter came to a target by our order, or left it (`None`).
+    /// Records that an adapter was loaded on a target by a command of this
+    /// daemon, or unloaded from it (`None`).
     pub(crate) fn record_placement(
         &self,
         target: &Name,
@@ -397,18 +401,18 @@
         }
     }
 
-    /// Which process this is.
+    /// Id of this process.
     pub(crate) fn boot(&self) -> u64 {
         self.me.boot
     }
 
-    /// The process that answers at `peer`, as it told.
+    /// Id of the process that answers at `peer`, as it reported.
     pub(crate) fn boot_of(&self, peer: &str) -> Option<u64> {
         let state = self.state();
         Some(state.peers.get(peer)?.daemon.as_ref()?.boot)
     }
 
-    /// Where this daemon answers its peers.
+    /// Address at which this daemon answers its peers.
     pub(crate) fn peer_addr(&self) -> &str {
         &self.me.peer
     }
@@ -440,7 +444,7 @@
 }
 
 impl State {
-    /// Peers heard from lately, here or by a holder of leases.
+    /// Peers seen recently, by this daemon or by a lease holder.
     fn alive_peers(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
         let limit = Fleet::alive_ms(self.peers.len());
         self.peers
@@ -453,14 +457,14 @@
         self.uses(now).collect()
     }
 
-    /// Adapters in use at targets, some of them more than once.
+    /// Adapters in use at targets; the same one may be listed several times.
     fn uses(&self, now: u64) -> impl Iterator<Item = (&Name, &AdapterRef)> {
         let theirs = self.heard_recently(now).flat_map(|(_, p)| p.runs.uses());
         let waiting = self.pins.keys().map(|(target, adapter)| (target, adapter));
         waiting.chain(self.runs.uses()).chain(theirs)
     }
 
-    /// Peers that this daemon heard from lately.
+    /// Peers that this daemon received gossip from recently.
     fn heard_recently(&self, now: u64) -> impl Iterator<Item = (&Name, &Peer)> {
         let limit = Fleet::alive_ms(self.peers.len());
         self.peers.iter().filter(move |(_, p)| p.alive(now, limit))
@@ -472,7 +476,7 @@
         is_recent(self.heard_at_ms, now, limit)
     }
 
-    /// Whether it was heard from lately, here or by a holder of leases.
+    /// Whether it was seen recently, by this daemon or by a lease holder.
     fn is_seen(&self, now: u64, limit: u64) -> bool {
         self.alive(now, limit) || is_recent(self.vouched_at_ms, now, limit)
     }
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other, made and taken in.
+//! Gossip messages: creation and processing.
 
 use std::sync::Arc;
 
@@ -22,16 +22,16 @@
 /// Peers named in one call of a large fleet.
 const NAMED_PEERS: usize = 3;
 
-/// Most bytes of settings that news bears: some named versions, or a configuration
-/// of some dozen routes.
+/// Maximum size in bytes of the settings in a gossip message: a few named
+/// versions, or a configuration of some dozen routes.
 ///
-/// What goes wrong without a bound: holders answer each report of a large fleet
-/// with the whole configuration until it has been taken in, and over small links
-/// no answer comes in time. Larger ones are read in the store or fetched once.
+/// Without a limit, holders answer each report of a large fleet with the whole
+/// configuration until it has been applied, and over slow links no answer
+/// arrives in time. Larger settings are read from the store or fetched once.
 const MAX_SETTINGS_BYTES: usize = 8 * 1_024;
 
 impl Fleet {
-    /// What to tell the peer at `addr`.
+    /// Creates the gossip message for the peer at `addr`.
     pub(super) fn gossip_for(&self, node: &Node, addr: &str) -> News {
         let now = node.now();
         let mut news = self.own_gossip(node, now);
@@ -39,7 +39,7 @@
         let known = state.alive_peers(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
         news.peers = if hub::is_large(state.peers.len()) {
-            // Rosters name the rest.
+            // The rosters name the rest.
             known.choose_multiple(&mut rand::rng(), NAMED_PEERS)
         } else {
             known.collect()
@@ -66,7 +66,7 @@
         let engines: Set<&str> = runs.iter().map(|(_, r)| &*r.target).collect();
         for work in &mut news.work {
             if engines.contains(work.target.as_str()) {
-                // The runs tell it.
+                // Already covered by the runs.
                 work.prefill = 0;
                 work.running = 0;
             }
@@ -105,12 +105,12 @@
         let targets_age = targets.age(now);
         let settings_age = view.records.settings_sync.age_ms(now);
         let settings_version = view.records.settings_sync.newest();
-        // Who has heard of newer settings for one part of their bound and does
-        // not have them counts as cut off; the other parts are left for a peer
-        // to hear of it and to send them. What goes wrong without it: the store
-        // falls silent in the middle of a feed call, which takes its 11 s to
-        // fail, and until then the daemon does not know that it is cut off:
-        // routes denied 3 s after they were added, 17 times in a heavy day of
+        // A daemon that has known of newer settings for one part of their bound
+        // without having them counts as cut off; the other parts are left for a
+        // peer to learn of it and to send them. Otherwise, when the store goes
+        // silent in the middle of a feed call, which takes its 11 s to fail,
+        // the daemon does not know until then that it is cut off: routes were
+        // denied 3 s after they were added, 17 times on a heavily loaded day of
         // 90 daemons.
         let behind_ms = view.records.settings_sync.lag_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
@@ -140,9 +140,10 @@
         }
     }
 
-    /// Adds to a call which roster of the peer at `addr` is known here. An
-    /// answer bears the sender's own: with this one in it, an answer of a
-    /// holder that still takes its fleet for small would renew an old roster.
+    /// Adds the version of the roster known from the peer at `addr` to a call.
+    /// An answer carries the sender's own version: with this one in it, an
+    /// answer of a holder that still regards its fleet as small would renew an
+    /// old roster.
     pub(super) fn add_known_roster(&self, addr: &str, news: &mut News) {
         let state = self.state();
         news.roster_version = state.peers.get(addr).map_or(0, |p| p.roster.version());
@@ -150,9 +151,9 @@
 
     /// Adds rows that the peer at `addr` may lack to a call.
     ///
-    /// In a large fleet only holders get them unasked, and hand them on:
-    /// rows for peers called by chance, of whom nothing recent is known, came
-    /// to two thirds of the bytes between 89 daemons.
+    /// In a large fleet only holders receive them unasked, and pass them on:
+    /// rows for randomly called peers, whose recent state is not known, came to
+    /// two thirds of the bytes between 89 daemons.
     pub(super) fn push_rows(&self, node: &Node, addr: &str, news: &mut News) {
         let (new, cut_off, settings, known) = {
             let state = self.state();
@@ -170,17 +171,17 @@
                 peer.targets_version,
             )
         };
-        // A new peer may have just started. What goes wrong if one that is cut
-        // off is sent what it has already: in an outage of the store all are,
-        // and a configuration of 300 KB went to the holders with each report of
-        // 90 daemons, 0.45 GB between failure domains in six seconds.
+        // A new peer may have just started. A peer that is cut off gets only
+        // what it lacks: in an outage of the store all are cut off, and a
+        // configuration of 300 KB went to the holders with each report of 90
+        // daemons, 0.45 GB between failure domains in six seconds.
         if new || cut_off {
             add_settings(node, settings, news);
         }
         news.targets = rows_since(node, Topic::Targets, known);
     }
 
-    /// Takes in a peer's news.
+    /// Applies a peer's gossip message.
     pub(super) fn apply_gossip(&self, node: &Arc<Node>, news: News, how: super::Origin) {
         let Some(from) = news.from.clone() else {
             return;
@@ -233,7 +234,8 @@
         let covers = news.targets_version >= node.view().records.targets.version;
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
-        // What it takes this daemon to have may be what an earlier start had.
+        // The version that the peer assumes here may be that of an earlier
+        // start.
         let settings = match node
             .view()
             .records
@@ -271,20 +273,21 @@
         }
     }
 
-    /// When, by this daemon's clock, the store said what the sender knows of the
-    /// settings, or later.
+    /// Returns a time by this daemon's clock at or before which the store
+    /// confirmed the sender's settings.
     ///
-    /// The age in news is as of when it was made, and news may lie for seconds
-    /// before a daemon that was frozen or busy: counted from when it is read, an
-    /// old version would pass for confirmed.
+    /// The age in a message applies to the time it was made, and a message may
+    /// stay unread for seconds in a daemon that was frozen or busy. Counted
+    /// from the time of reading, an old version would pass for confirmed.
     fn settings_as_of(&self, news: &News) -> Option<u64> {
         let known = news.settings_age != u64::MAX && news.echoed_at > 0;
         let made_after = (known && news.heard_boot == self.me.boot).then_some(news.echoed_at)?;
-        // A moment before this start is as good as none: its clock began then.
+        // A time before this start is useless, because the clock began at the
+        // start.
         made_after.checked_sub(news.settings_age)
     }
 
-    /// Takes in what a peer tells of itself; returns its work at engines.
+    /// Updates a peer's own state; returns its work at engines.
     fn update_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
         for holding in &news.holdings {
             node.leases.observe_token(&holding.group, holding.token);
@@ -304,7 +307,7 @@
         peer.cut_off = news.cut_off;
         peer.members = news.members as usize;
         if news.holdings.is_empty() {
-            // It sums up for nobody any more.
+            // It no longer aggregates for anybody.
             peer.reported_use.clear();
         }
         let holdings = news.holdings.iter();
@@ -312,7 +315,7 @@
             .map(|h| (h.group.as_str().into(), h.token))
             .collect();
         if peer.daemon.as_ref().is_none_or(|a| a.boot != from.boot) {
-            // What an earlier process ran is gone.
+            // The runs of an earlier process are gone.
             peer.runs = Runs::default();
         }
         peer.daemon = Some(from.clone());
@@ -330,8 +333,8 @@
     }
 }
 
-/// Notes a newer version of the settings that was just heard of, and why it may
-/// take time to come.
+/// Logs a newer version of the settings that was just reported, and what may
+/// delay it.
 fn log_newer_settings(in_force: &SettingsTracker, before: Option<u64>, now: u64) {
     let Some(heard) = in_force
         .newer_version()
@@ -347,8 +350,8 @@
 }
 
 impl State {
-    /// Own runs that the peer at `addr` has to know of: in a large fleet those
-    /// at engines of its groups, and those of groups without a known holder.
+    /// Own runs to report to the peer at `addr`: in a large fleet those at
+    /// engines of its groups, and those of groups without a known holder.
     fn runs_for(&self, addr: &str, now: u64) -> Vec<EngineRun> {
         let all = self.runs.iter();
         if !hub::is_large(self.peers.len()) {
@@ -382,7 +385,7 @@
     }
 }
 
-/// Rows of `topic` with news since `version`.
+/// Rows of `topic` that changed after `version`.
 pub(super) fn rows_since(
     node: &Node,
     topic: Topic,
@@ -390,7 +393,8 @@
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
     let shelf = view.records.topic_rows(topic);
-    // All settings, so that nobody lacks the newest row; of targets, what matters.
+    // All rows of settings, so that nobody lacks the newest one; of targets
+    // only relevant changes.
     let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
         Topic::Targets => shelf
@@ -401,7 +405,7 @@
     shelf.rows.values().filter(newer).map(to_wire).collect()
 }
 
-/// What the sender of news lacks.
+/// Versions that the sender of a message has.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportedVersions {
     settings_version: u64,
@@ -419,9 +423,10 @@
     }
 }
 
-/// Adds the settings newer than `version` to news for a peer, all of them or none:
-/// one that has the newest row counts as having those before it. A peer that is
-/// not given them hears of a newer version, and reads or fetches it.
+/// Adds the settings newer than `version` to a message for a peer, all of them
+/// or none: a peer that has the newest row counts as having those before it. A
+/// peer that does not receive them learns of the newer version, and reads or
+/// fetches it.
 fn add_settings(node: &Node, version: u64, news: &mut News) {
     let rows = rows_since(node, Topic::Settings, version);
     let bytes: usize = rows.iter().map(|r| r.value.len()).sum();
@@ -431,7 +436,7 @@
     }
 }
 
-/// Adds the rows that a peer lacks to the news for it.
+/// Adds the rows that a peer lacks to its answer.
 pub(super) fn add_rows(node: &Node, asked: ReportedVersions, news: &mut News) {
     add_settings(node, asked.settings_version, news);
     if news.targets_age < asked.targets_age {
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -1,10 +1,10 @@
-//! Telling holders at once how runs go on at their engines.
+//! Immediate reports to lease holders on the progress of runs.
 //!
-//! What goes wrong without it: a run ends, its place stays in use in the eyes
-//! of the holder until the next news, and requests that wait for a place wait
-//! that much longer; prompts that were read still count as a queue; and what
-//! one daemon learns of a failing engine stays with it, while each of 195
-//! daemons sends to an engine once in 45 s.
+//! With gossip alone, the slot of a finished run counts as in use until the
+//! next message, and requests that wait for a slot wait that much longer;
+//! prompts that were read still count as queued; and failures of an engine stay
+//! known to one daemon only, while each of 195 daemons sends to an engine once
+//! in 45 s.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,17 +16,19 @@
 use super::Fleet;
 use crate::node::Node;
 
-/// Events that wait to be told. What does not fit is told by the next news.
+/// Capacity of the queue of updates. What does not fit is left to the next
+/// gossip message.
 pub(super) const UPDATE_QUEUE_LEN: usize = 512;
 
-/// Pause that gathers events into one call, in ms: short against the 100
-/// ms or so between two places that fall free in one group.
+/// Delay that batches updates into one call, in ms: short against the 100 ms or
+/// so between two slots that become free in one group.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest one call may take: after that the next news has told it.
+/// Longest duration of one call: after that the next gossip message has covered
+/// it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What became of a run, or of a part of it.
+/// A state change of a run.
 #[derive(Debug, Clone)]
 pub(crate) struct RunUpdate {
     pub(crate) run: u64,
@@ -35,20 +37,20 @@
     pub(crate) change: RunChange,
 }
 
-/// One step of a run.
+/// What changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum RunChange {
-    /// Its first event came, after so many ms.
+    /// Its first event arrived, after this many ms.
     FirstEvent(u64),
     /// It has ended, or was never sent.
     Ended,
-    /// Its answer says this much for the engine.
+    /// Its answer counts for the engine, with this weight.
     Success(f64),
-    /// Its answer says this much against the engine.
+    /// Its answer counts against the engine, with this weight.
     Failure(f64),
 }
 
-/// Starts the duty.
+/// Starts the reporting task.
 pub(super) fn spawn(node: &Arc<Node>) {
     let Some(mut events) = node.fleet.take_updates() else {
         return;
@@ -64,12 +66,12 @@
     });
 }
 
-/// Tells each holder what concerns its engines.
+/// Reports to each holder the updates of its engines.
 fn report_updates(node: &Arc<Node>, all: Vec<RunUpdate>) {
     let now = node.now();
     let mut calls: Map<Name, Vec<RunEvent>> = Map::default();
     for event in all {
-        // Whoever holds the group itself has seen it.
+        // The holder itself has already seen it.
         if node.token(&event.group).is_some() {
             continue;
         }
@@ -83,7 +85,7 @@
     }
 }
 
-/// Adds an event to those of its run.
+/// Merges an update into the event of its run.
 fn merge(events: &mut Vec<RunEvent>, event: &RunUpdate) {
     let at = events.iter().position(|e| e.run == event.run);
     let at = at.unwrap_or_else(|| {
@@ -121,7 +123,7 @@
 }
 
 impl Fleet {
-    /// The events to be told; once only.
+    /// Takes the receiver of updates; possible only once.
     fn take_updates(&self) -> Option<mpsc::Receiver<RunUpdate>> {
         let mut events = self
             .updates_rx
@@ -130,14 +132,14 @@
         events.take()
     }
 
-    /// Has an event of an own run told.
+    /// Queues an update of an own run.
     pub(crate) fn send_update(&self, event: RunUpdate) {
         if let Err(e) = self.updates_tx.try_send(event) {
             log::debug!(target: "fleet", error:% = e; "progress left to the next news");
         }
     }
 
-    /// Takes in how a daemon's runs went on.
+    /// Applies a daemon's report on its runs.
     pub(super) fn apply_progress(&self, node: &Node, report: &ProgressReport) {
         let now = node.now();
         for event in &report.events {
--- a/crates/comfreyhall-node/src/fleet/runs.rs
+++ b/crates/comfreyhall-node/src/fleet/runs.rs
@@ -1,9 +1,9 @@
-//! Runs at engines, as the daemons that send them tell.
+//! Runs at engines, as reported by the daemons that send them.
 //!
-//! Whoever holds the lease of a group chooses the engine of every run there,
-//! so it has to know of all of them. A daemon's news names its runs; between
-//! two of them the holder adds those that it has just bound, and takes off
-//! what the daemon says was read or has ended.
+//! The holder of a group's lease chooses the engine of every run there, so it
+//! must know all of them. A daemon's gossip lists its runs; between two
+//! messages the holder adds the runs that it has just bound, and updates those
+//! that the daemon reports as read or ended.
 
 use comfreyhall_domain::{AdapterRef, Map, Name};
 use comfreyhall_protocol::EngineRun;
@@ -11,30 +11,30 @@
 
 use super::{adapter_key, parse_adapter_key};
 
-/// How long a run that was bound for a daemon counts though its news does not
-/// name it, in ms: its last news may have been made before it had the answer,
-/// which is some ms, and a daemon with little processor may take a tenth of a
-/// second to send it.
+/// How long a run that was bound for a daemon counts although its gossip does
+/// not list it, in ms: the last message may have been made before the daemon
+/// had the answer, which takes a few ms, and a daemon with little processor may
+/// take a tenth of a second to send it.
 const UNREPORTED_MS: u64 = 500;
 
 /// One run at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Run {
     pub(crate) target: Name,
-    /// Failure domain of the engine, whose holder is told.
+    /// Failure domain of the engine, whose lease holder gets the reports.
     pub(crate) group: Name,
-    /// What it uses; `None` for the base model itself.
+    /// The adapter in use; `None` for the base model.
     pub(crate) adapter: Option<AdapterRef>,
     /// Prompt tokens not read yet.
     pub(crate) unread_tokens: u64,
-    /// Prompt tokens to be read before its first event, its own included.
+    /// Prompt tokens to be read before its first event, including its own.
     pub(crate) queued_tokens: u64,
-    /// When the holder bound it; 0 if only its daemon told of it.
+    /// When the holder bound it; 0 if it is known only from its daemon.
     pub(crate) bound_at_ms: u64,
 }
 
 impl Run {
-    /// What it is on its engine's table.
+    /// The engine load that it causes.
     pub(crate) fn work(&self) -> Work {
         Work {
             prefill_tokens: self.unread_tokens,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The run for the wire.
+    /// Encodes the run for the wire.
     pub(super) fn to_wire(&self, id: u64) -> EngineRun {
         EngineRun {
             id,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Runs of one daemon by number.
+/// Runs of one daemon by id.
 #[derive(Debug, Default)]
 pub(super) struct Runs(Map<u64, Run>);
 
@@ -69,7 +69,7 @@
         self.0.insert(id, run);
     }
 
-    /// Its prompt was read: the run as it was before.
+    /// Marks the prompt as read; returns the run as it was before.
     pub(super) fn mark_prompt_read(&mut self, id: u64) -> Option<Run> {
         let run = self.0.get_mut(&id)?;
         let before = run.clone();
@@ -77,7 +77,7 @@
         Some(before)
     }
 
-    /// It ended: the run as it was before.
+    /// Removes the run and returns it.
     pub(super) fn end(&mut self, id: u64) -> Option<Run> {
         self.0.remove(&id)
     }
@@ -86,7 +86,8 @@
         self.0.iter().map(|(id, run)| (*id, run))
     }
 
-    /// Takes in what the daemon says it runs at `now`.
+    /// Replaces the runs by those that the daemon reports, except recently
+    /// bound ones.
     pub(super) fn reconcile(&mut self, told: &[EngineRun], now: u64) {
         let mut known = std::mem::take(&mut self.0);
         for run in told {
@@ -97,7 +98,7 @@
         self.0.extend(known);
     }
 
-    /// What they are on each engine's table.
+    /// Total engine load by target.
     pub(super) fn work_by_target(&self) -> Map<Name, Work> {
         let mut out: Map<Name, Work> = Map::default();
         for run in self.0.values() {
--- a/crates/comfreyhall-node/src/fleet/runs/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/runs/tests.rs
@@ -30,9 +30,9 @@
     }
 }
 
-/// Symptom: an engine that looked idle was given several prompts at once.
-/// Events: a holder binds a run; the daemon's next news was made before it had
-/// the answer. Cause: the news alone was taken for all that the daemon runs.
+/// Guards against an engine that looks idle and gets several prompts at once. A
+/// holder binds a run, and the daemon's next message was made before it had the
+/// answer: the message alone does not list all that the daemon runs.
 #[test]
 fn replace_keeps_what_was_just_bound() {
     let mut runs = Runs::default();
@@ -41,7 +41,7 @@
     let works = runs.work_by_target();
     let work = works.get("t").unwrap();
     assert_eq!((work.prefill_tokens, work.requests), (150, 2));
-    // News that names neither, and long after: both are gone.
+    // A message without either run, after the limit: both are gone.
     runs.reconcile(&[], 1_000 + UNREPORTED_MS);
     assert!(runs.work_by_target().is_empty());
 }
--- a/crates/comfreyhall-node/src/fleet/swap.rs
+++ b/crates/comfreyhall-node/src/fleet/swap.rs
@@ -1,4 +1,4 @@
-//! Calling the other daemons, and answering them.
+//! Gossip calls to the other daemons, and the service that answers theirs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,19 +19,19 @@
 };
 use crate::{bind, caps, node::Node};
 
-/// Longest one swap may take.
+/// Longest duration of one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A peer that nobody heard from for this long is forgotten, in ms.
+/// Time after which a peer that nobody has seen is forgotten, in ms.
 pub(super) const FORGET_MS: u64 = 60_000;
 
-/// Pause between calls to a peer that does not answer, in ms.
+/// Interval between calls to a peer that does not answer, in ms.
 const UNREACHABLE_PAUSE_MS: u64 = 1_000;
 
-/// A peer that should have called and has not for this long is called, in ms.
+/// Silence after which a peer that should have called is called instead, in ms.
 const SILENT_MS: u64 = 600;
 
-/// Starts swapping news.
+/// Starts the gossip task.
 pub(crate) fn spawn(node: &Arc<Node>) {
     super::progress::spawn(node);
     super::fetch::spawn(node);
@@ -47,7 +47,7 @@
     });
 }
 
-/// Peers to call now.
+/// Returns the peers to call now and marks them as called.
 fn due_peers(node: &Node) -> Vec<Name> {
     let now = node.now();
     let mut state = node.fleet.state();
@@ -78,7 +78,7 @@
         let limit = Fleet::alive_ms(self.peers.len());
         let due = self.peers.iter().filter(|(addr, peer)| {
             let quiet = now.saturating_sub(peer.heard_at_ms);
-            // One call a pair: the one with the smaller address makes it.
+            // One call per pair, made by the daemon with the lower address.
             let turn = me < &***addr || quiet > SILENT_MS;
             let rest = peer.heard_at_ms == 0 || quiet > limit;
             let early = rest
@@ -112,7 +112,7 @@
     }
 }
 
-/// Tells every peer at once, as before a stop.
+/// Exchanges gossip with every peer at once, as before a stop.
 pub(crate) async fn notify_all(node: &Arc<Node>) {
     let addrs: Vec<Name> = {
         let now = node.now();
@@ -123,9 +123,9 @@
     futures::future::join_all(calls).await;
 }
 
-/// Has those called who must hear at once of a request that ends targets:
-/// everyone in a small fleet, the holders of leases in a large one, who tell
-/// the others with their next answers.
+/// Calls the peers that must learn at once of a request that ends targets:
+/// everyone in a small fleet; in a large one the lease holders, who pass it on
+/// with their next answers.
 pub(crate) fn notify_findings(node: &Arc<Node>) {
     let now = node.now();
     let addrs: Vec<Name> = {
@@ -139,12 +139,11 @@
     }
 }
 
-/// Tells every peer of a lease just taken.
+/// Announces a newly acquired lease to every peer.
 ///
-/// What goes wrong without it: in a large fleet daemons report to holders
-/// only, and learn of a new one by chance, seconds later; until then they
-/// know of no holder and place no adapter there. In a small fleet the next
-/// period tells everyone.
+/// In a large fleet daemons report to holders only, and would learn of a new
+/// one by chance, seconds later; until then they know no holder and place no
+/// adapter there. In a small fleet the next period reaches everyone.
 pub(crate) async fn announce_lease(node: Arc<Node>) {
     let large = hub::is_large(node.fleet.state().peers.len());
     if large {
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -22,7 +22,8 @@
     }
 }
 
-/// News of the holder at port 100 with its roster, or the one it has of us.
+/// A gossip message of the holder at port 100 with its roster, or with the
+/// version of the roster it has from this daemon.
 fn news(roster_version: u64, roster: Vec<Daemon>) -> News {
     News {
         from: Some(daemon(100)),
@@ -36,11 +37,11 @@
     }
 }
 
-/// Symptom: callers were sent to a daemon that had been off for seven seconds.
-/// Events: in a fleet of 89 a holder tells another that the daemon is alive;
-/// the daemon loses power; from then on the first holder only calls the second.
-/// Cause: in a call the roster's version is the callee's, and the callee took
-/// it for a sign that the caller's last roster still holds.
+/// Guards against sending callers to a daemon that had been down for seven
+/// seconds, in a fleet of 89. A holder reports to another that the daemon is
+/// alive; the daemon loses power, and from then on the first holder only makes
+/// calls. The roster version in a call is the callee's, and must not renew the
+/// caller's last roster.
 #[tokio::test]
 async fn learn_call_renews_no_roster() {
     let node = node();
@@ -64,10 +65,10 @@
     assert!(!named(&node));
 }
 
-/// Symptom: one report later than the others, callers were still sent to a
-/// daemon that was off. Events: a holder has the roster of another, which
-/// calls it and takes its fleet for small yet. Cause: the answer bore the
-/// caller's own roster, as if the holder had just made it.
+/// Guards against sending callers to a daemon that is down for one report
+/// longer than necessary. A holder has the roster of another one, which calls
+/// it and still regards its fleet as small. The answer must not carry the
+/// caller's own roster version as if the holder had just made it.
 #[tokio::test]
 async fn news_for_answer_bears_no_known_roster() {
     let node = node();
@@ -85,8 +86,8 @@
     assert_ne!(told.roster_version, 0);
 }
 
-/// Guards against reports that bear a whole configuration again and again, to
-/// daemons that are cut off as to others.
+/// Guards against reports that carry a whole configuration again and again,
+/// whether the receiver is cut off or not.
 #[test]
 fn settings_large_in_no_news() {
     let node = node();
@@ -125,10 +126,10 @@
     assert_eq!((told(2, false), told(2, true)), (1, 1));
 }
 
-/// Symptom: routes were denied 3 s after they had been added. Events: the
-/// store falls silent in the middle of a feed call; it comes back, the others
-/// read a larger configuration, and this daemon still waits for its call to
-/// fail. Cause: it did not count as cut off, so nobody sent it the settings.
+/// Guards against routes that are denied 3 s after they were added. The store
+/// goes silent in the middle of a feed call; it comes back, the others read a
+/// larger configuration, and this daemon still waits for its call to fail. It
+/// must count as cut off, or nobody sends it the settings.
 #[tokio::test]
 async fn own_news_behind_is_cut_off() {
     let node = node();
@@ -163,10 +164,10 @@
     assert!(!cut_off(now + lag + 2));
 }
 
-/// Symptom: half a gigabyte went between failure domains in six seconds.
-/// Events: the store is away, so all 90 daemons count as cut off; a
-/// configuration of 300 KB is in force on all. Cause: each report to a holder
-/// that was cut off bore all settings, whether it had them or not.
+/// Guards against gossip that fills the links: half a gigabyte between failure
+/// domains in six seconds. In an outage of the store all 90 daemons count as
+/// cut off, and have a configuration of 300 KB. A report to a holder that is
+/// cut off must not carry settings that it has already.
 #[tokio::test]
 async fn push_rows_only_what_is_lacked() {
     let node = node();
@@ -197,9 +198,9 @@
     assert_eq!(told(8), 1);
 }
 
-/// Symptom: an outage of the store cost 360 calls a second for leases. Events:
-/// holders cannot renew, and each of 90 daemons tries to take each lease. Cause:
-/// only those better placed came first, not one of those as well placed.
+/// Guards against a burst of lease attempts: 360 calls a second in an outage of
+/// the store. Holders cannot renew, and each of 90 daemons tries to acquire
+/// each lease, unless equally placed daemons take turns as well.
 #[tokio::test]
 async fn ahead_equals_take_turns() {
     let node = node();
@@ -217,14 +218,14 @@
     let own = node.fleet.precedence("d", now);
     assert!(!own.better);
     assert!(own.equals <= 10);
-    // In another group's eyes the turn is another.
+    // The turn differs from group to group.
     let turns = ["d", "e", "f", "g"].map(|g| node.fleet.precedence(g, now).equals);
     assert!(turns.iter().any(|t| *t != turns[0]), "{turns:?}");
 }
 
-/// Symptom: holders of a fleet of 195 knew of half the work at their engines.
-/// Events: daemons report every 1.0 to 1.2 s. Cause: what one had told counted
-/// for a second.
+/// Guards against reported work that expires before the next report: holders of
+/// a fleet of 195 knew half the work at their engines. Daemons report every 1.0
+/// to 1.2 s, and a report counted for one second.
 #[tokio::test]
 async fn learn_work_counts_until_next_report() {
     let node = node();
@@ -252,9 +253,8 @@
     );
 }
 
-/// Symptom: one daemon held the leases of four domains out of five. Events: it
-/// was the first to be ready, and those better placed were ready later. Cause:
-/// a lease once taken was kept.
+/// Guards against one daemon that keeps the leases of four domains out of five.
+/// It was the first to be ready, and the better placed ones became ready later.
 #[tokio::test]
 async fn better_in_the_group_s_domain() {
     let node = node();
@@ -278,10 +278,10 @@
     );
     assert!(node.fleet.is_better_placed("e", "127.0.0.1:200"));
     assert!(!node.fleet.is_better_placed("e", "127.0.0.1:201"));
-    // Its own domain's lease it leaves to nobody.
+    // It gives up the lease of its own domain to nobody.
     hear(202, "d", 900);
     assert!(!node.fleet.is_better_placed("d", "127.0.0.1:202"));
-    // In a large fleet a daemon with little processor is no better place.
+    // In a large fleet a daemon with little processor is not better placed.
     for port in 300..320 {
         node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
@@ -291,7 +291,8 @@
     );
 }
 
-/// Guards against an old version that counts as confirmed by news that lay unread.
+/// Guards against an old version that counts as confirmed because of a message
+/// that stayed unread.
 #[tokio::test]
 async fn learn_age_counts_from_when_news_was_made() {
     let node = node();
@@ -303,7 +304,7 @@
     };
     let age = || node.view().records.settings_sync.age_ms(5_000);
     let boot = node.fleet.boot();
-    // The last one says that the store told it before this start.
+    // In the last case the store confirmed it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
         let odd = told(echoed_at, heard_boot);
         node.fleet.apply_gossip(&node, odd, super::Origin::Call);
@@ -314,8 +315,8 @@
     assert_eq!(age(), 4_010);
 }
 
-/// Guards against a part of newer settings, sent to an earlier start of this daemon,
-/// that passes for all of them.
+/// Guards against a part of newer settings, sent to an earlier start of this
+/// daemon, that passes for all of them.
 #[tokio::test]
 async fn learn_settings_after_gap_not_taken() {
     let node = node();
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -1,11 +1,12 @@
-//! Following the settings in force in the platform's store, and [`targets`].
+//! Follows the settings in the platform's store, and the targets ([`targets`]).
 //!
-//! Settings are followed by a feed that answers at the first change, which
-//! costs next to nothing while nothing changes. A feed that says nothing proves
-//! nothing, though: the store may have fallen silent and come back without it. So
-//! when nobody in the fleet has had an answer about settings for a part of their
-//! bound, one daemon looks, and a failed look ends the feed. What the store does not
-//! give is fetched from other daemons meanwhile ([`crate::fleet`]).
+//! Settings are followed through a feed that answers at the first change and
+//! costs next to nothing while nothing changes. A quiet feed is no proof that
+//! nothing has changed, though: the store may have gone silent and come back
+//! without it. So when nobody in the fleet has had an answer about settings for
+//! a part of their bound, one daemon sends a probe, and a failed probe ends the
+//! feed. Meanwhile settings that the store does not provide are fetched from
+//! other daemons ([`crate::fleet`]).
 
 mod targets;
 
@@ -20,44 +21,45 @@
     ports::{PendingBatch, RecordBatch, SourceError, Topic},
 };
 
-/// Longest wait of one feed call. Shorter than the store's longest by far,
-/// so that a silent connection is noticed.
+/// Longest wait of one feed call. It is far shorter than the store allows, so
+/// that a silent connection is noticed.
 const FEED_WAIT: Duration = Duration::from_secs(10);
 
-/// Parts of the bound for settings: in a large fleet only the holders of
-/// leases follow the feed, so that a change costs a call for each of them and
-/// not for each daemon. Each of their calls returns within one part, which
-/// confirms what they know; the others begin to follow by themselves once no
-/// holder has confirmed it for two parts, and have the third for that.
+/// Parts that the bound for settings is divided into. In a large fleet only the
+/// lease holders follow the feed, so that a change costs one call for each
+/// holder instead of one for each daemon. Each of their calls returns within
+/// one part and confirms the settings. The other daemons begin to follow the
+/// feed themselves once no holder has confirmed them for two parts; the third
+/// part is left for that.
 pub(crate) const PARTS_PER_APPLY: u64 = 3;
 
-/// Parts of the bound for settings without an answer about them, from anybody,
-/// after which a daemon looks: the one that draws least, and the others hear it
-/// from that one. The rest of the bound is left for the look, for the news and
-/// for those whose own look was lost.
+/// Range of the fraction of the bound for settings that passes without an
+/// answer from anybody before a daemon sends a probe. The daemon with the
+/// shortest drawn time sends it, and the others learn the result from that
+/// daemon. The rest of the bound is left for the probe, for gossip, and for
+/// daemons whose own probe was lost.
 const PROBE_PARTS: std::ops::Range<f64> = 0.4..0.6;
 
-/// Pause between looks at whether holders still tell of settings, in ms.
+/// Interval between checks whether holders still confirm the settings, in ms.
 const HOLDER_POLL_MS: u64 = 100;
 
-/// Pause after a first failed call, in ms: a call that was lost by itself is
-/// soon made again.
+/// Pause after a first failed call, in ms: a single lost call is soon repeated.
 const RETRY_MS: u64 = 200;
 
-/// Longest pause of one of [`ASKERS`] daemons, in ms. In a larger fleet it is
-/// as much longer as there are more of them, so that a store that is away is
-/// asked as often as by these few, some 25 times a second, and its return is
-/// noticed as soon: whoever reads it first tells the others.
+/// Longest pause of one of [`FEW_DAEMONS`] daemons, in ms. It grows in
+/// proportion to a larger fleet, so that a store that is down gets as many
+/// calls as from these few, some 25 a second, and its return is noticed as
+/// soon: the first daemon that reads it tells the others.
 const FEW_PAUSE_MS: u64 = 600;
 
-/// Daemons that may ask a store that is away without mercy.
+/// Daemons that may call a store that is down without longer pauses.
 const FEW_DAEMONS: usize = 16;
 
-/// Longest pause in any fleet, in ms: a daemon that is turned away while its
-/// peers are not gets rows from them, but those may be lost too.
+/// Longest pause in any fleet, in ms: a daemon that the store rejects gets rows
+/// from peers that can read it, but those may be lost too.
 const MAX_PAUSE_MS: u64 = 3_000;
 
-/// Starts both duties.
+/// Starts both tasks.
 pub(crate) fn spawn(node: &Arc<Node>) {
     tokio::spawn(follow_settings(node.clone()));
     tokio::spawn(targets::follow_targets(node.clone()));
@@ -70,7 +72,8 @@
         let began = node.now();
         let told = match after {
             None => read(&node).await,
-            // A call that waits would not tell a silent store from a quiet one.
+            // A long poll would not distinguish a silent store from an idle
+            // one.
             Some(version) if link.down => probe(&node, version).await,
             Some(version) => {
                 await_stale(&node).await;
@@ -111,12 +114,13 @@
     times: Times,
 }
 
-/// Moments of an answer, by this daemon's clock.
+/// Times of an answer, by this daemon's clock.
 struct Times {
-    /// When what it brings was asked for, or began to come.
+    /// When its content was requested, or began to arrive.
     asked: u64,
-    /// The store said it then, or later. When the answer has come whole says
-    /// nothing of that: it may have been seconds on a slow link.
+    /// Lower bound on the time at which the store made the answer. The time at
+    /// which it has arrived completely is no use here: it may have taken
+    /// seconds on a slow link.
     as_of: u64,
 }
 
@@ -127,7 +131,7 @@
     }
 }
 
-/// All settings.
+/// Reads all settings.
 async fn read(node: &Node) -> Result<StoreAnswer, SourceError> {
     let times = Times::now(node);
     let rest = node.source.read(Topic::Settings).await?;
@@ -135,7 +139,7 @@
     Ok(StoreAnswer { facts, times })
 }
 
-/// What changed after `version`, as the store has it now.
+/// Reads the changes after `version`, without waiting for one.
 async fn probe(node: &Node, version: u64) -> Result<StoreAnswer, SourceError> {
     let times = Times::now(node);
     let source = &node.source;
@@ -144,13 +148,14 @@
     Ok(StoreAnswer { facts, times })
 }
 
-/// The rest of an answer that has begun to come.
+/// Receives the rest of an answer that has begun to arrive.
 async fn receive(node: &Node, rest: PendingBatch) -> Result<RecordBatch, SourceError> {
     node.view().records.settings_sync.store_read_started();
     rest.await
 }
 
-/// The rest of a feed call that began at `began` and waited up to `wait`.
+/// Receives the rest of a feed call that began at `began` and waited up to
+/// `wait`.
 async fn receive_feed(
     node: &Node,
     began: u64,
@@ -160,7 +165,7 @@
     let asked = node.now();
     let facts = receive(node, rest).await?;
     let waited = began + wait.as_millis() as u64;
-    // Without changes it is made at the end of its wait.
+    // Without changes the answer is made at the end of the wait.
     let as_of = match facts.rows.is_empty() && asked >= waited {
         true => waited,
         false => began,
@@ -169,20 +174,20 @@
     Ok(StoreAnswer { facts, times })
 }
 
-/// Waits for what changes after `version`; looks in between whether the store
+/// Waits for changes after `version`, and probes meanwhile whether the store
 /// still answers.
 ///
-/// What goes wrong without the looks: the store falls silent within a feed call
-/// and comes back, changes are made, and no daemon hears of them before the call
-/// has waited out its time.
+/// Without probes, when the store goes silent within a feed call and comes
+/// back, no daemon learns of new changes before the call has reached its time
+/// limit.
 async fn feed(node: &Node, version: u64) -> Result<StoreAnswer, SourceError> {
     let (wait, began) = (feed_wait(node), node.now());
     let feed = node.source.changes(Topic::Settings, version, wait);
     tokio::pin!(feed);
     loop {
         tokio::select! {
-            // Once the answer has begun it is a matter of the link's speed: a look
-            // would fetch the same again beside it.
+            // Once the answer has begun, its duration depends on the link: a
+            // probe would fetch the same content again in parallel.
             answer = &mut feed => return receive_feed(node, began, wait, answer?).await,
             () = await_unconfirmed(node) => {}
         }
@@ -198,8 +203,8 @@
     }
 }
 
-/// Waits until nobody has had an answer about settings for a drawn part of their
-/// bound.
+/// Waits until nobody has had an answer about settings for a randomly drawn
+/// part of their bound.
 async fn await_unconfirmed(node: &Node) {
     let bound = node.settings().bounds.apply_ms as f64;
     let due = (bound * rand::rng().random_range(PROBE_PARTS)) as u64;
@@ -225,8 +230,8 @@
     FEED_WAIT
 }
 
-/// In a large fleet, waits for as long as what is known of the settings is
-/// young enough, and nobody tells of anything newer.
+/// In a large fleet, waits while the settings known here are recent enough and
+/// nobody reports newer ones.
 async fn await_stale(node: &Node) {
     loop {
         if node.view().records.settings_sync.newer_version().is_some() {
@@ -241,12 +246,13 @@
     }
 }
 
-/// Pause in ms after `failures` calls in a row have failed, in a fleet of
-/// `daemons`; `draw` spreads it over half to one and a half times its length.
+/// Returns the pause in ms after `failures` consecutive failed calls in a fleet
+/// of `daemons`; `draw` spreads it over half to one and a half times its
+/// length.
 ///
-/// What goes wrong with a fixed pause: the store turns away 90 daemons for
-/// some seconds, and each asks it five times a second for each topic: 3,400
-/// calls, all refused.
+/// With a fixed pause, a store that rejects 90 daemons for a few seconds was
+/// called by each of them five times a second for each topic: 3,400 calls, all
+/// rejected.
 fn pause_ms(failures: u32, daemons: usize, draw: u64) -> u64 {
     let grown = RETRY_MS << failures.saturating_sub(1).min(5);
     let most = FEW_PAUSE_MS * daemons.max(FEW_DAEMONS) as u64 / FEW_DAEMONS as u64;
@@ -254,18 +260,18 @@
     pause / 2 + draw % pause
 }
 
-/// Pause of this daemon after `failures` calls in a row have failed.
+/// Pause of this daemon after `failures` consecutive failed calls.
 pub(crate) fn pause(node: &Node, failures: u32) -> Duration {
     let daemons = node.fleet.size(node.now());
     let draw = rand::rng().random();
     Duration::from_millis(pause_ms(failures, daemons, draw))
 }
 
-/// Whether the store answers for one topic; tells when that changes.
+/// State of the connection to the store for one topic; logs its changes.
 struct StoreLink {
     topic: &'static str,
     down: bool,
-    /// Calls in a row that have failed.
+    /// Consecutive failed calls.
     failures: u32,
 }
 
@@ -278,12 +284,12 @@
         }
     }
 
-    /// Waits before the next call, as the last one failed.
+    /// Waits before the next call after a failure.
     async fn pause(&self, node: &Node) {
         tokio::time::sleep(pause(node, self.failures)).await;
     }
 
-    /// Takes in the answer to a call that began at `began`.
+    /// Records the answer to a call that began at `began`.
     fn note(&mut self, node: &Node, answer: &Result<RecordBatch, SourceError>, began: u64) {
         let topic = self.topic;
         let now = node.now();
@@ -307,7 +313,7 @@
     }
 }
 
-/// Begins to serve once a configuration and some target are known.
+/// Begins to serve once a configuration and a target are known.
 pub(crate) fn start_if_synced(node: &Node) {
     let known = {
         let view = node.view();
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -1,14 +1,14 @@
-//! Following the targets in the platform's store.
+//! Follows the targets in the platform's store.
 //!
-//! Targets publish themselves about every second, so a feed of them would answer
-//! all the time; they are read on a beat that leaves room in the bound for targets
-//! that leave. One reading serves the fleet: whoever's knowledge is oldest reads,
-//! and the others get what changed with the next news.
+//! Targets publish themselves about every second, so a feed of them would
+//! answer all the time. They are polled at a period that leaves room in the
+//! bound for draining targets. One read serves the fleet: the daemon with the
+//! oldest data reads, and the others get the changes with the next gossip.
 //!
-//! What goes wrong: the store is away, and entries of living targets lapse.
-//! Taking them for gone would stop all service the moment the store is back.
-//! So after an outage removals count only once a listing taken the return
-//! time after the store's return still lacks them.
+//! While the store is down, the entries of live targets expire. Taking these
+//! targets for gone would stop all service the moment the store is back, so
+//! after an outage removals count only once a listing taken the return time
+//! after the store's return still lacks them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,25 +21,25 @@
     ports::{RecordBatch, Topic},
 };
 
-/// Parts of the bound for targets that leave at which knowledge of them is
-/// due to be renewed: drawn between one and two parts, so that one daemon
-/// reads first and the others need not. News takes a quarter of a second
-/// more, and a slow store as much again.
+/// Parts that the bound for draining targets is divided into. The data is
+/// renewed at an age drawn between one and two parts, so that one daemon reads
+/// first and the others need not. Gossip takes a quarter of a second more, and
+/// a slow store as much again.
 const PARTS_PER_DRAIN: u64 = 4;
 
-/// Parts after which a daemon that reports to holders of leases reads the
-/// targets itself, and half a part more at most: holders read first, and what
-/// they read is a part and a report of the fleet old when it comes. At two to
+/// Age in parts at which a daemon that reports to lease holders reads the
+/// targets itself; up to half a part is added. Holders read first, and their
+/// data is a part and a report of the fleet old when it arrives. At two to
 /// three parts 195 daemons read 31 times a second.
 const REPORTING_PARTS: f64 = 2.5;
 
-/// Pause between looks at how old the knowledge is, in ms.
+/// Interval between checks of the age, in ms.
 const AGE_POLL_MS: u64 = 50;
 
-/// Reads further apart than this many beats are an outage of the store.
+/// Reads more than this many periods apart count as an outage of the store.
 const OUTAGE_PERIODS: u64 = 3;
 
-/// Reads the targets when what is known of them is old.
+/// Reads the targets when the known ones are too old.
 pub(super) async fn follow_targets(node: Arc<Node>) {
     let mut away = Outage::default();
     let mut link = StoreLink::new("targets");
@@ -59,7 +59,7 @@
     }
 }
 
-/// Age in ms at which this daemon is to read the targets.
+/// Age in ms at which this daemon reads the targets.
 fn due_ms(node: &Node, beat: u64) -> u64 {
     let half = (beat / 2).max(1);
     let drawn = rand::rng().random_range(0..half);
@@ -67,13 +67,13 @@
         return (REPORTING_PARTS * beat as f64) as u64 + drawn;
     }
     match node.fleet.is_large() {
-        // What a holder reads is old when the others hear of it.
+        // A holder's data is old when it reaches the others.
         true => half + drawn,
         false => beat + 2 * drawn,
     }
 }
 
-/// Waits until what is known of the targets is `due` ms old.
+/// Waits until the known targets are `due` ms old.
 async fn await_age(node: &Node, due: u64) {
     loop {
         let as_of = node.view().records.targets.as_of_ms;
@@ -84,10 +84,10 @@
     }
 }
 
-/// When the store was last away, as seen by this daemon.
+/// The last outage of the store, as observed by this daemon.
 #[derive(Debug, Default)]
 struct Outage {
-    /// When it answered again; 0 if it never was away.
+    /// When the store answered again; 0 if there was no outage.
     ended_at_ms: u64,
 }
 
@@ -96,7 +96,7 @@
     let last = {
         let mut view = node.view();
         let targets = &mut view.records.targets;
-        // What a peer heard meanwhile may be newer than this answer.
+        // A peer's data received meanwhile may be newer than this answer.
         let last = targets.as_of_ms;
         targets.as_of_ms = last.max(began);
         last
--- a/crates/comfreyhall-node/src/follow/tests.rs
+++ b/crates/comfreyhall-node/src/follow/tests.rs
@@ -5,16 +5,16 @@
     let (mut at, mut count) = (0, 0);
     while at < ms {
         count += 1;
-        // The middle of the draws is the pause itself.
+        // The middle of the drawn range is the pause itself.
         let pause = pause_ms(count, daemons, 0);
         at += 2 * pause;
     }
     u64::from(count)
 }
 
-/// Symptom: an outage of the store cost 3,400 calls in six seconds. Events: it
-/// turns 90 daemons away, and each asks again five times a second. Cause: the
-/// pause after a failure grew neither with failures nor with the fleet.
+/// Guards against calls that overload a store: an outage cost 3,400 calls in
+/// six seconds. The store rejects 90 daemons, and each retries five times a
+/// second, unless the pause grows with the failures and with the fleet.
 #[test]
 fn pause_ms_fleet_asks_as_few_would() {
     let few = calls(7, 6_000) * 7;
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -76,7 +76,9 @@
             return;
         };
         let load_ms = now.saturating_sub(loading.started_at_ms);
-        self.node.controllers.record_load(loading.cached, load_ms, now);
+        self.node
+            .controllers
+            .record_load(loading.cached, load_ms, now);
         let Some(loading) = self.take_pending(adapter) else {
             return;
         };
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -126,7 +126,8 @@
     pub(super) fn add_pending(&mut self, adapter: AdapterRef, loading: PendingLoad) {
         if !loading.cached {
             self.node
-                .controllers.store_loads
+                .controllers
+                .store_loads
                 .fetch_add(1, Ordering::Relaxed);
         }
         self.node.controllers.begin_load(&adapter, &self.target.id);
@@ -138,7 +139,8 @@
         self.node.controllers.end_load(adapter, &self.target.id);
         if !loading.cached {
             self.node
-                .controllers.store_loads
+                .controllers
+                .store_loads
                 .fetch_sub(1, Ordering::Relaxed);
         }
         Some(loading)
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -1,9 +1,9 @@
-//! Finding the other daemons through the platform's store.
+//! Discovery of the other daemons through the platform's store.
 //!
-//! Each daemon writes one row when it starts and drops it when it stops; who
-//! is alive is learned by talking, so nothing is written in between. The
-//! rows of instances that died are pruned by one daemon of those that no
-//! longer hear of them.
+//! Each daemon writes one row when it starts and deletes it when it stops.
+//! Liveness is known from gossip, so nothing is written in between. The rows of
+//! instances that died are deleted by one of the daemons that no longer see
+//! them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,22 +14,23 @@
 
 const PREFIX: &str = "member/";
 
-/// Pause between listings for each 16 daemons: peers introduce each other
-/// within a second, so this only joins parts of a fleet that know nothing of
-/// each other, and it comes to one call in 20 s for each 16 daemons.
+/// Listing interval for each 16 daemons: peers introduce each other within a
+/// second, so this only joins parts of a fleet that know nothing of each other,
+/// at the cost of one call in 20 s for each 16 daemons.
 const PERIOD_MS: u64 = 20_000;
 
-/// Daemons that ask the store at once who there is, of many that do not know.
+/// Number of daemons, of many that do not know the members, that list them from
+/// the store at once.
 const INITIAL_LISTERS: usize = 4;
 
-/// Daemons for which one listing in a period will do.
+/// Daemons for which one listing in a period is enough.
 const LISTING_UNIT: usize = 16;
 
-/// Pause between looks at whether a listing is due, and at least after a
+/// Interval between checks whether a listing is due, and minimum pause after a
 /// failed call.
 const POLL: Duration = Duration::from_millis(500);
 
-/// Starts the duty.
+/// Starts the task.
 pub(crate) fn spawn<R: Rows>(node: &Arc<Node>, rows: R) {
     tokio::spawn(run(node.clone(), rows));
 }
@@ -42,7 +43,7 @@
     let mut failures = 0;
     while !node.draining() {
         let now = node.now();
-        // Whoever has met the others need not look for them right away.
+        // A daemon that has met others need not list them right away.
         let met = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
         let unsure = needs_listing(&node, now);
         let due = listed.is_none_or(|at| now.saturating_sub(at) >= period_ms(&node));
@@ -83,8 +84,9 @@
     }
 }
 
-/// Whether this daemon should ask who there is, for the caps of workspaces. Some
-/// of those that start together ask, and the others hear it from them.
+/// Whether this daemon should list the members, which the quotas of workspaces
+/// need. Of daemons that start together some list them, and the others learn
+/// the result from these.
 fn needs_listing(node: &Node, now: u64) -> bool {
     let size = node.fleet.size(now);
     node.quotas.in_use()
@@ -97,11 +99,12 @@
     PERIOD_MS * size as u64 / LISTING_UNIT as u64
 }
 
-/// Sees that the own row is there, meets the others, prunes lost ones.
+/// Ensures that the own row exists, adds the other daemons as peers, and
+/// deletes the rows of lost ones.
 async fn list_members<R: Rows>(node: &Node, rows: &R, key: &str) -> Result<(), CatalogError> {
     let found = rows.scan(PREFIX, "", 0).await?;
     if !found.iter().any(|row| row.key == key) {
-        // Others took this daemon for lost while it was cut off.
+        // Other daemons took this one for lost while it was cut off.
         write_own_row(node, rows, key).await?;
     }
     let now = node.now();
--- a/crates/comfreyhall-node/src/metrics.rs
+++ b/crates/comfreyhall-node/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What the core counts and times.
+//! Metrics of the core.
 //!
-//! No label grows with adapters, customers or requests: the number of series
-//! is bounded by the routes' kinds and the ways things end.
+//! No label grows with adapters, customers or requests: the number of series is
+//! bounded by the kinds of routes and the possible outcomes.
 
 use std::sync::Mutex;
 
@@ -12,11 +12,11 @@
     metrics::{Counter, Histogram},
 };
 
-/// Bounds of times to a first event and of load stalls, in seconds; the
-/// objectives of the deployments served are 0.15 to 1 s.
+/// Histogram boundaries for times to a first event and for load stalls, in
+/// seconds; the latency objectives of the deployments served are 0.15 to 1 s.
 const BUCKETS_S: [f64; 11] = [0.0, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.0, 2.0, 4.0, 8.0];
 
-/// Workspaces with a series of their own; the rest have one together.
+/// Workspaces with a series of their own; all others share one.
 const MAX_WORKSPACE_LABELS: usize = 64;
 
 /// The instruments.
@@ -105,7 +105,7 @@
         self.requests.add(1, &labels);
     }
 
-    /// A request of `workspace` was refused by its cap.
+    /// Counts a request of `workspace` that was rejected by its quota.
     pub(crate) fn workspace_refusal(&self, workspace: &str, why: &'static str) {
         let mut named = self.labelled.lock().expect("no holder of this lock panics");
         let known = named.contains(workspace);
@@ -160,7 +160,8 @@
             .add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// A configuration of `bytes` is in force, `ms` after the first word of it.
+    /// Records that a configuration of `bytes` became active, `ms` after it was
+    /// first reported.
     pub(crate) fn settings(&self, way: &'static str, bytes: usize, ms: u64) {
         let labels = [KeyValue::new("way", way)];
         self.settings_bytes.add(bytes as u64, &labels);
--- a/crates/comfreyhall-node/src/quarantine/confirm.rs
+++ b/crates/comfreyhall-node/src/quarantine/confirm.rs
@@ -1,10 +1,10 @@
-//! Finding out whether a target has ended.
+//! Determines whether a target has ended.
 //!
 //! A target that crashes closes all its connections, but a closed connection
-//! alone proves nothing: something between may have reset it, or the target
-//! gave up one answer. What goes wrong if each counts: a switch restarts, all
-//! connections of a failure domain are reset three times, and every request in
-//! it is held back.
+//! alone proves nothing: a device on the path may have reset it, or the target
+//! aborted a single answer. If each one counted, a switch that restarts and
+//! resets all connections of a failure domain three times would have every
+//! request in it quarantined.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,22 +14,22 @@
 use super::{Node, QuarantineTracker, is_unresolved, resolve};
 use crate::{outbound, ports::ProbeResult};
 
-/// Pauses before each look at the target, in ms: a process that ended refuses
-/// connections at once; a listener may outlive its process by some ms.
+/// Delays before each probe of the target, in ms: a process that ended refuses
+/// connections at once; a listener may outlive its process by a few ms.
 const PROBE_DELAYS_MS: [u64; 3] = [0, 60, 300];
 
-/// How long the entry of a silent target is waited to go, in ms: the platform
-/// removes it after some missed heartbeats.
+/// How long to wait for the entry of a silent target to disappear, in ms: the
+/// platform removes it after a few missed heartbeats.
 const ENTRY_TIMEOUT_MS: u64 = 5_000;
 
-/// Pause between looks at the entry.
+/// Interval between checks of the entry.
 const ENTRY_POLL: Duration = Duration::from_millis(200);
 
-/// Longest a suspect's next send waits to learn whether its last target has
-/// ended: a target that did is known within some ms.
+/// How long the next send of a suspect waits to learn whether its last target
+/// has ended: for a target that did, this is known within a few ms.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Settles the doubts about `target`.
+/// Resolves the closed connections of `target`.
 pub(super) async fn run(node: Arc<Node>, target: Name) {
     let ended = ended(&node, &target).await;
     log::debug!(target: "quarantine", target_id:% = target, ended; "target looked at");
@@ -59,9 +59,9 @@
 }
 
 impl QuarantineTracker {
-    /// Waits for a while until it is known whether targets that closed
-    /// connections of the suspect `fingerprint` have ended: it may be one too
-    /// many.
+    /// Waits for a limited time until it is known whether targets that closed
+    /// connections of the suspect `fingerprint` have ended, as the next target
+    /// might be one too many.
     pub(crate) async fn await_verdict(&self, node: &Node, fingerprint: &Fingerprint) {
         let settled = async {
             loop {
@@ -72,7 +72,7 @@
                 notified.await;
             }
         };
-        // In time or not: the request goes on with what is known then.
+        // After a timeout the request continues with what is known then.
         let _ = tokio::time::timeout(SETTLE_TIMEOUT, settled).await;
     }
 }
--- a/crates/comfreyhall-node/src/quarantine/log.rs
+++ b/crates/comfreyhall-node/src/quarantine/log.rs
@@ -1,10 +1,10 @@
-//! What is logged and counted of requests that end targets.
+//! Logs and metrics of requests that end targets.
 
 use comfreyhall_quarantine::{Change, Evidence, Observation, Quarantine, TargetEnd};
 
 use crate::node::Node;
 
-/// Which targets ended, how long ago, and who saw it.
+/// Lists which targets ended, how long ago, and who observed it.
 pub(super) fn ends(ends: &[TargetEnd], now: u64) -> String {
     let one = |e: &TargetEnd| {
         let age = now.saturating_sub(e.at_ms);
@@ -14,8 +14,8 @@
     all.join("; ")
 }
 
-/// One line for each change, with the evidence that decided it; `cause`: the
-/// finding that it came of, if it was one.
+/// Logs one line for each change, with the evidence that decided it; `cause` is
+/// the finding that led to it, if there was one.
 pub(super) fn changes(
     node: &Node,
     known: &Quarantine,
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a finding says, who made it, and how old it is.
+/// Describes a finding, its observer and its age.
 fn reason(evidence: &Evidence, now: u64) -> String {
     let age = now.saturating_sub(evidence.at_ms);
     let what = match &evidence.observation {
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -1,14 +1,14 @@
-//! Holding back requests that end the targets that run them.
+//! Quarantines requests that end the targets that run them.
 //!
-//! A run whose connection its target closed is a doubt about that target until
-//! it is known whether the target has ended ([`confirm`]); if it has, the run
-//! speaks against its request. What is found goes to the other daemons at once
-//! ([`spread`]) and with all news, and each holds back what the findings of all
-//! of them together weigh enough against.
+//! A run whose connection its target closed stays unresolved until it is known
+//! whether the target has ended ([`confirm`]); if it has, the run is evidence
+//! against its request. Findings are sent to the other daemons at once
+//! ([`spread`]) and with all gossip, and each daemon quarantines the requests
+//! against which the findings of all of them have enough weight.
 //!
-//! Only a connection that the target closed counts, and only of a target that
-//! has ended: callers that leave, time limits, resets on the way and engines
-//! that fall silent with their rack prove nothing about a request.
+//! Only a connection closed by the target counts, and only if the target has
+//! ended: callers that disconnect, timeouts, resets on the path and engines
+//! that go silent with their rack prove nothing about a request.
 
 mod confirm;
 mod log;
@@ -25,15 +25,15 @@
 use crate::{node::Node, outbound};
 
 /// How long a target that was found to have ended is remembered, in ms: the
-/// connections of all its runs break within some ms, and each daemon's core may
-/// be busy for some hundred.
+/// connections of all its runs break within a few ms, and each daemon's core
+/// may be busy for a few hundred.
 const ENDED_TTL_MS: u64 = 10_000;
 
-/// What this daemon knows of requests that end targets.
+/// Evidence on this daemon about requests that end targets.
 #[derive(Default)]
 pub(crate) struct QuarantineTracker {
     state: Mutex<State>,
-    /// Wakes the duty that tells the other daemons.
+    /// Wakes the task that notifies the other daemons.
     found: Notify,
     /// Wakes requests that wait to learn whether their target has ended.
     resolved: Notify,
@@ -46,35 +46,35 @@
     closed_runs: Map<Name, Map<Fingerprint, ClosedRun>>,
     /// Targets that have ended, and when that was found.
     ended_targets: Map<Name, u64>,
-    /// Requests that are being tried here.
+    /// Requests with a trial in progress here.
     trials: Set<Fingerprint>,
 }
 
 /// A run whose connection its target closed.
 #[derive(Clone, Copy)]
 struct ClosedRun {
-    /// When, in ms.
+    /// When it was closed, in ms.
     at: u64,
-    /// Whether the target had just begun it.
+    /// Whether the target had just started the run.
     early: bool,
 }
 
-/// When the caller of a request that is being tried is told to come back, in
-/// ms: its fate is known to everyone by then.
+/// Retry delay given to the caller of a request that is on trial, in ms: the
+/// result is known to everyone by then.
 pub(crate) const TRIAL_RETRY_MS: u64 = 5_000;
 
 /// Whether a request may be sent now.
 pub(crate) enum Admission {
-    /// Like any other.
+    /// Without restriction.
     Allowed,
-    /// Once, to see whether it is to blame.
+    /// Once, to test whether it is the cause.
     Trial(Trial),
-    /// Not; its caller may come back after so many ms.
+    /// Not now; the caller may retry after this many ms.
     Quarantined(u64),
 }
 
-/// A trial of a request that is held back; nobody else here makes one while
-/// this lives.
+/// A trial of a quarantined request; no other one of the same request starts
+/// here while it exists.
 pub(crate) struct Trial {
     node: Arc<Node>,
     fingerprint: Fingerprint,
@@ -92,24 +92,25 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Whether nothing is known against any request: then no request needs a
-    /// fingerprint.
+    /// Whether there is no evidence against any request; no request needs a
+    /// fingerprint then.
     pub(crate) fn is_empty(&self) -> bool {
         self.state().known.is_empty()
     }
 
-    /// Whether a target ended under `fingerprint`.
+    /// Whether a target ended while running `fingerprint`.
     pub(crate) fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
         self.state().known.is_suspect(fingerprint)
     }
 
-    /// The targets that ended under `fingerprint`, for the log.
+    /// Describes the targets that ended while running `fingerprint`, for the
+    /// log.
     pub(crate) fn describe_ends(&self, fingerprint: &Fingerprint, now: u64) -> String {
         log::ends(self.state().known.target_ends(fingerprint), now)
     }
 }
 
-/// Whether `fingerprint` may be sent by this daemon now.
+/// Decides whether this daemon may send `fingerprint` now.
 pub(crate) fn admit(node: &Arc<Node>, fingerprint: Fingerprint) -> Admission {
     if !node.quarantine.state().known.is_quarantined(&fingerprint) {
         return Admission::Allowed;
@@ -129,8 +130,8 @@
     }
 }
 
-/// The target closed the connection of a run of `fingerprint`; `early`: it had
-/// just begun to run it, as far as is known.
+/// Records that the target closed the connection of a run of `fingerprint`;
+/// `early` tells that it had just started the run, as far as is known.
 pub(crate) fn connection_closed(
     node: &Arc<Node>,
     target: &Name,
@@ -159,8 +160,9 @@
     }
 }
 
-/// Whether `target` is to stay: one that leaves ends whatever it runs, and its
-/// entry may go before it does. One that crashes is listed for some seconds.
+/// Whether `target` is not draining: a draining one ends all its runs, and its
+/// entry may disappear before it does. A crashed one stays listed for some
+/// seconds.
 fn is_staying(node: &Node, target: &Name) -> bool {
     if outbound::is_draining(node, target) {
         return false;
@@ -170,14 +172,14 @@
     known.is_some_and(|t| t.stage == Stage::Ready)
 }
 
-/// A target ran `fingerprint` to its end.
+/// Records that a target ran `fingerprint` to completion.
 pub(crate) fn run_completed(node: &Arc<Node>, fingerprint: Fingerprint) {
     if node.quarantine.is_suspect(&fingerprint) {
         record_finding(node, fingerprint, Observation::Completed, node.now());
     }
 }
 
-/// Whether it is still open if a target that closed a connection of
+/// Whether it is still unknown if a target that closed a connection of
 /// `fingerprint` has ended.
 fn is_unresolved(node: &Node, fingerprint: &Fingerprint) -> bool {
     let state = node.quarantine.state();
@@ -185,7 +187,7 @@
     doubts.any(|of_target| of_target.contains_key(fingerprint))
 }
 
-/// The doubts about `target` are settled.
+/// Resolves the closed connections of `target`.
 fn resolve(node: &Arc<Node>, target: &Name, has_ended: bool) {
     let now = node.now();
     let mut state = node.quarantine.state();
@@ -214,10 +216,10 @@
     }
 }
 
-/// Takes in what this daemon saw at `at`.
+/// Records what this daemon observed at `at`.
 ///
-/// What goes wrong if an end counts from when it was looked at: the request
-/// runs whole in between, and is a suspect again for what was before.
+/// If an end counted from the time of the check instead, a request that
+/// completes in between would become suspect again for an earlier end.
 fn record_finding(node: &Arc<Node>, fingerprint: Fingerprint, finding: Observation, at: u64) {
     let evidence = Evidence {
         fingerprint,
@@ -230,7 +232,7 @@
     }
 }
 
-/// Takes in a finding, whoever made it; whether it is new.
+/// Applies a finding, whoever made it; returns whether it is new.
 fn learn(node: &Node, evidence: Evidence) -> bool {
     let now = node.now();
     let mut state = node.quarantine.state();
@@ -242,14 +244,16 @@
     if let Observation::TargetEnded { target, .. } = evidence.observation
         && new
     {
-        // A boot that has ended takes nothing any more; without this every
-        // daemon finds out by itself until the entry goes.
-        node.view().unavailable_until.insert(target, now + ENDED_TTL_MS);
+        // A boot that has ended takes no requests any more; otherwise every
+        // daemon would find that out itself until the entry disappears.
+        node.view()
+            .unavailable_until
+            .insert(target, now + ENDED_TTL_MS);
     }
     new
 }
 
-/// Forgets what is too old.
+/// Removes outdated evidence.
 fn forget(node: &Node) {
     let now = node.now();
     let mut state = node.quarantine.state();
--- a/crates/comfreyhall-node/src/quarantine/spread.rs
+++ b/crates/comfreyhall-node/src/quarantine/spread.rs
@@ -1,24 +1,24 @@
-//! Telling the other daemons what was found, at once.
+//! Immediate distribution of findings to the other daemons.
 //!
-//! What goes wrong if findings wait for the next news: three targets have ended
-//! under a request, and daemons that have not heard go on sending it.
+//! If findings waited for the next gossip, daemons that have not received them
+//! would go on sending a request under which three targets have ended.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{Node, forget};
 use crate::fleet;
 
-/// Pause that gathers the findings of one crash into one call.
+/// Delay that batches the findings of one crash into one call.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Least pause between two rounds of calls: under a series of crashes the cost
-/// of telling stays bounded.
+/// Minimum pause between two rounds of calls, which limits the cost under a
+/// series of crashes.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause between looks for what is too old.
+/// Interval between removals of outdated evidence.
 const FORGET_PAUSE: Duration = Duration::from_secs(10);
 
-/// Starts the duties.
+/// Starts the tasks.
 pub(crate) fn spawn(node: &Arc<Node>) {
     tokio::spawn(spread_findings(node.clone()));
     let node = node.clone();
--- a/crates/comfreyhall-node/src/quarantine/wire.rs
+++ b/crates/comfreyhall-node/src/quarantine/wire.rs
@@ -1,4 +1,4 @@
-//! Findings as daemons tell each other.
+//! Findings in messages between daemons.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 
 use super::{Node, learn};
 
-/// What to tell a daemon that has heard all findings up to `serial`, and the
-/// number of the last one told.
+/// Returns the findings for a daemon that has received all up to `serial`, and
+/// the serial of the last one.
 pub(crate) fn findings_since(node: &Node, serial: u64) -> (Vec<proto::Evidence>, u64) {
     let now = node.now();
     let (told, last) = node.quarantine.state().known.evidence_since(serial);
     (told.iter().map(|e| e.to_wire(now)).collect(), last)
 }
 
-/// Takes in what another daemon has told.
+/// Applies the findings of another daemon.
 pub(crate) fn apply_findings(node: &Arc<Node>, told: &[proto::Evidence]) {
     let now = node.now();
     for evidence in told {
--- a/crates/comfreyhall-node/src/stop.rs
+++ b/crates/comfreyhall-node/src/stop.rs
@@ -1,9 +1,9 @@
-//! A planned stop: nothing in progress is cut off.
+//! Graceful stop: nothing in progress is interrupted.
 //!
-//! On the signal the daemon says so to its peers and to the readiness check,
-//! so callers are no longer sent to it; those with an older address answer
-//! still come, and are served, for as long as they may keep it. Then it
-//! waits for what is in progress and ends within the bound.
+//! On the signal the daemon notifies its peers and the readiness check, so that
+//! callers are no longer sent to it. Callers with an older address answer still
+//! arrive, and are served for as long as they may cache it. Then the daemon
+//! waits for requests in progress, and ends within the bound.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,23 +11,23 @@
 
 use crate::{fleet, node::Node};
 
-/// Time for callers to learn that this daemon leaves: one address answer's
-/// time-to-live and a little.
+/// Time for callers to learn that this daemon is draining: the time-to-live of
+/// an address answer and a margin.
 const LINGER: Duration = Duration::from_millis(2_500);
 
-/// Part of the bound after which what still runs is left behind.
+/// Part of the bound after which remaining requests are abandoned.
 const GRACE_FRACTION: f64 = 0.93;
 
-/// Pause between looks.
+/// Interval between checks.
 const POLL: Duration = Duration::from_millis(50);
 
-/// Whether a stopping daemon still takes a request that may last until
+/// Whether a draining daemon still accepts a request that may last until
 /// `limit`.
 ///
-/// What goes wrong without it: a caller with an old address answer sends a
-/// stream seconds after the signal, and the process ends in its middle. Once
-/// callers have had time to learn of the stop, only what surely ends before
-/// the process is taken.
+/// A caller with an old address answer may send a stream seconds after the
+/// signal, and the process would end in the middle of it. Once callers have had
+/// time to learn of the stop, only requests that surely end before the process
+/// are accepted.
 pub(crate) fn accepts(node: &Node, limit: u64) -> bool {
     let began = node.drain_began_ms();
     if node.rejects_all() {
@@ -39,15 +39,17 @@
     limit < began + grace_ms(node)
 }
 
-/// Ms after the signal at which the process ends at the latest.
+/// Time in ms after the signal at which the process ends at the latest.
 fn grace_ms(node: &Node) -> u64 {
     (node.settings().bounds.grace_s * 1_000.0 * GRACE_FRACTION) as u64
 }
 
-/// Leaves: returns once nothing is in progress or time is up.
+/// Drains the daemon; returns once nothing is in progress or the time limit is
+/// reached.
 ///
-/// `close_idle` is called when callers have had time to learn of it: take no
-/// new connections then and close idle ones; those in use end on their own.
+/// `close_idle` is called when callers have had time to learn of the stop: it
+/// should accept no new connections from then on and close idle ones; those in
+/// use end on their own.
 pub async fn drain(node: &Arc<Node>, close_idle: impl Fn()) {
     let began = node.now();
     node.set_drain_began(began);
@@ -57,9 +59,8 @@
     tokio::time::sleep(LINGER).await;
     close_idle();
     await_idle(node, began).await;
-    // What goes wrong without it: nothing is in progress, the process is
-    // about to end, and a request that comes in that instant is passed on
-    // and cut. From here on everything is refused.
+    // From here on everything is rejected: otherwise a request that arrives
+    // just before the process ends would be forwarded and cut off.
     node.reject_all();
     await_idle(node, began).await;
     // The last answers are still on their way to their callers.
--- a/crates/comfreyhall-node/tests/fleet.rs
+++ b/crates/comfreyhall-node/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet so large that news goes through the holders of leases.
+//! A fleet so large that gossip goes through the lease holders.
 
 mod support;
 
@@ -17,10 +17,10 @@
 use support::*;
 use tokio::net::TcpListener;
 
-/// Daemons: a few more than the sixteen that swap news with everyone.
+/// A few more daemons than the sixteen that exchange gossip with everyone.
 const DAEMONS: usize = 20;
 
-/// A platform whose store turns one daemon away.
+/// A platform whose store rejects one daemon.
 struct Away(Arc<ScriptedSource>);
 
 impl Source for Away {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Starts the fleet; the store turns the last daemon away.
+/// Starts the fleet; the store rejects the last daemon.
 async fn fleet(world: &Arc<ScriptedSource>, script: &Arc<ScriptedBackend>) -> Vec<Arc<Node>> {
     let table = comfreyhall_fakes::FakeTable::default();
     let mut listeners = Vec::new();
@@ -72,10 +72,10 @@
     }
 }
 
-/// Symptom: in a fleet of 89, what a daemon knew of the others was seconds
-/// old, and one that the store turned away learned of settings by chance.
-/// Events: each daemon swaps news with some of the others at a time. Cause:
-/// nobody collects for all.
+/// Guards against gossip that is seconds old in a fleet of 89, and a daemon
+/// that the store rejects and that learns of settings only by chance: without
+/// lease holders that aggregate it, each daemon exchanges gossip with only a
+/// few of the others at a time.
 #[tokio::test]
 async fn news_reaches_all_through_holders() {
     let route = route(RouteKind::Stream, 1, false);
@@ -88,8 +88,8 @@
         until(|| node.ready()).await;
         until(|| node.addresses().0.len() == DAEMONS).await;
     }
-    // The daemon that the store turned away serves, and has its adapter
-    // placed by the holder.
+    // The daemon that the store rejects serves, and has its adapter placed by
+    // the lease holder.
     let mut ask = ask("q");
     ask.adapter = Some(AdapterRef {
         model: "m".into(),
@@ -100,16 +100,16 @@
         caller_result(last.serve(ask).await).await,
         CallerResult::Stream(vec![1], true)
     );
-    // One holder gave all orders.
+    // One holder sent all commands.
     let orders = script.commands.lock().unwrap();
     let first = &orders[0].holder;
     assert!(orders.iter().all(|o| o.holder == *first), "{orders:?}");
 }
 
-/// Symptom: a request that ends its engines is held back by those daemons that
-/// saw it, and sent by the others. Events: in a large fleet daemons report to
-/// holders only, and one that is cut off from the store hears from nobody else.
-/// Cause: what was found stayed with those who found it.
+/// Guards against a request that ends its engines and is quarantined only by
+/// the daemons that observed it. In a large fleet daemons report to lease
+/// holders only, and one that is cut off from the store has no other source:
+/// findings must reach it through them.
 #[tokio::test]
 async fn deadly_request_known_through_holders() {
     let mut world = scripted_source(route(RouteKind::Stream, 1, false), Some(engine()));
@@ -135,7 +135,7 @@
         ask.forwarded.body = bytes::Bytes::from_static(b"deadly");
         ask
     };
-    // Each end is seen by another daemon.
+    // Each end is observed by another daemon.
     for node in nodes[5..8].iter().cycle() {
         let ended = script.exited_targets.lock().unwrap().clone();
         if ended.iter().collect::<HashSet<_>>().len() == 3 {
@@ -147,7 +147,7 @@
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // What is sent from now on proves nothing.
+    // Requests sent from now on are no evidence.
     let full = Behavior::Refuse(comfreyhall_domain::Refusal::Full);
     *script.default_behavior.lock().unwrap() = Some(full);
     for node in &nodes {
--- a/crates/comfreyhall-node/tests/quarantine.rs
+++ b/crates/comfreyhall-node/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What speaks against a request, and what its caller is told.
+//! Evidence against a request, and the answers to its caller.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use comfreyhall_node::Node;
 use support::*;
 
-/// Time limit of a request, in ms: what it is told must not depend on how fast
-/// this machine is.
+/// Time limit of a request, in ms: answers must not depend on the speed of this
+/// machine.
 const PATIENT_MS: u64 = 60_000;
 
-/// A daemon before five targets.
+/// Starts a daemon with five targets.
 async fn daemon(
     kind: RouteKind,
     attempts: u32,
@@ -56,7 +56,7 @@
     caller_result(node.serve(ask).await).await
 }
 
-/// What the daemon has counted in the series that begins with `series`.
+/// Value of the first metric series that begins with `series`.
 fn counted(node: &Node, series: &str) -> usize {
     let text = node.metrics_text();
     let line = text.lines().find(|l| l.starts_with(series));
@@ -81,7 +81,8 @@
     }
 }
 
-/// Sends the deadly request until it is held back; the targets it took.
+/// Sends the deadly request until it is quarantined; returns the number of
+/// targets it ended.
 async fn until_held(node: &Arc<Node>, script: &ScriptedBackend) -> usize {
     let before = script.sent.lock().unwrap().len();
     for i in 0..10 {
@@ -106,7 +107,7 @@
         let (node, script, _) = daemon(kind, attempts).await;
         always(&script, Behavior::Exit);
         assert_eq!(until_held(&node, &script).await, 3, "{kind:?}");
-        // At once, and whatever id it bears.
+        // At once, and whatever id it has.
         let sends = script.sent.lock().unwrap().len();
         assert_eq!(
             serve(&node, deadly("again")).await,
@@ -116,7 +117,7 @@
     }
 }
 
-/// An attempt that ended a target itself is not told that it has not run.
+/// A request that ended a target itself must not be answered as not run.
 #[tokio::test]
 async fn serve_deadly_attempt_may_have_run() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 4).await;
@@ -128,9 +129,9 @@
     assert_eq!(script.sent.lock().unwrap().len(), 3);
 }
 
-/// Guards against one workspace that cannot be served because another's request
-/// with the same body ends its targets, and against a caller that passes for
-/// another by a header of its own.
+/// Guards against a workspace that cannot be served because another's request
+/// with the same body ends its targets, and against a caller that impersonates
+/// another one by a header of its own.
 #[tokio::test]
 async fn serve_same_body_of_others_is_free() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
@@ -156,9 +157,9 @@
     assert_eq!(serve(&node, header).await, CallerResult::Quarantined(false));
 }
 
-/// Symptom: every request of a failure domain was held back. Events: a switch
-/// resets all connections again and again. Cause: a connection that closed was
-/// taken for a target that ended.
+/// Guards against quarantining every request of a failure domain: a switch
+/// resets all connections again and again, and a closed connection must not
+/// count as the end of a target.
 #[tokio::test]
 async fn serve_closed_by_living_target_is_free() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
@@ -174,7 +175,7 @@
 }
 
 /// A rack without power answers nothing; its targets are gone, but a request
-/// that waited there until its time was up did not end them.
+/// that waited there until its timeout did not end them.
 #[tokio::test]
 async fn serve_silent_targets_are_no_evidence() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
@@ -189,9 +190,9 @@
     assert_eq!(serve(&node, deadly("q")).await, CallerResult::Complete(200));
 }
 
-/// Symptom: requests that ran while a service was replaced were held back.
-/// Events: a target says that it leaves, and ends with what it still runs.
-/// Cause: its end was put down to them.
+/// Guards against quarantining requests that ran while a service was replaced:
+/// a draining target ends together with its remaining runs, which did not cause
+/// its end.
 #[tokio::test]
 async fn serve_leaving_target_is_no_evidence() {
     let (node, script, world) = daemon(RouteKind::Idempotent, 2).await;
@@ -212,7 +213,7 @@
     *world.draining.lock().unwrap() = all.collect();
     always(&script, Behavior::Exit);
     tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
-    // Nothing is sent to targets that leave; what they ran taught nothing.
+    // Nothing is sent to draining targets, and their runs were no evidence.
     assert_eq!(serve(&node, deadly("q")).await, CallerResult::NotRun);
 }
 
@@ -230,12 +231,13 @@
         until_known(&node, &script).await;
     }
     always(&script, Behavior::Exit);
-    // Three more are needed; the two before it ran whole do not count.
+    // Three more are needed; the two before the completed run do not count.
     assert_eq!(until_held(&node, &script).await, 3);
 }
 
-/// Symptom: a stream that ended its engines was resumed at the next one, and
-/// ended that too. Cause: only new attempts were looked at.
+/// Guards against a stream that ends its engine and is then resumed on the next
+/// one, which it ends as well: resumed streams must be checked like new
+/// attempts.
 #[tokio::test]
 async fn serve_deadly_stream_not_resumed() {
     let (node, script, _) = daemon(RouteKind::Stream, 5).await;
