--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -92,9 +92,9 @@
 }
 
 impl Quotas {
-    pub(crate) fn new(of: QuotaKind) -> Self {
+    pub(crate) fn new(kind: QuotaKind) -> Self {
         Self {
-            kind: of,
+            kind,
             state: Mutex::default(),
             answered: Notify::new(),
         }
@@ -139,8 +139,8 @@
     /// Takes a unit of `name` if one is available here and now.
     pub(crate) fn take_local(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
-        let taken = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
-        taken == Some(ReserveOutcome::Granted)
+        let outcome = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
+        outcome == Some(ReserveOutcome::Granted)
     }
 
     /// The data behind a rejection by the quota of `name`.
@@ -161,8 +161,8 @@
 }
 
 /// Updates the meter if other quotas are active now.
-pub(crate) fn refresh(node: &Node, of: QuotaKind) {
-    match of {
+pub(crate) fn refresh(node: &Node, kind: QuotaKind) {
+    match kind {
         QuotaKind::Workspaces => refresh_workspaces(node),
         QuotaKind::Targets => refresh_targets(node),
     }
@@ -211,10 +211,10 @@
 }
 
 /// Tells the meter which daemons there are.
-fn update_members(node: &Node, of: QuotaKind, state: &mut State) {
-    let met = settle::coordinators(node, of, &state.groups);
+fn update_members(node: &Node, kind: QuotaKind, state: &mut State) {
+    let current = settle::coordinators(node, kind, &state.groups);
     if let Some(meter) = &mut state.meter {
-        meter.update_fleet(&met.homes, met.fleet, node.now());
+        meter.update_fleet(&current.by_group, current.fleet, node.now());
     }
 }
 
@@ -247,21 +247,21 @@
     name: &Name,
     size: u64,
 ) -> Result<Credit, QuotaError> {
-    let caps = node.quotas_of(kind);
+    let quotas = node.quotas_of(kind);
     let began = node.now();
-    if let Some(meter) = &mut caps.state().meter {
+    if let Some(meter) = &mut quotas.state().meter {
         meter.record_demand(name, size, began);
     }
     let until = began + kind.answer_ms();
     loop {
         let now = node.now();
-        let taken = match &mut caps.state().meter {
+        let outcome = match &mut quotas.state().meter {
             Some(meter) => meter.try_reserve(name, size, now),
             None => ReserveOutcome::UsageUnknown {
                 retry_ms: kind.answer_ms(),
             },
         };
-        match taken {
+        match outcome {
             ReserveOutcome::Granted => return Ok(Credit::new(node, kind, name, size)),
             ReserveOutcome::OverQuota { retry_ms } => {
                 return Err(QuotaError::Exceeded { retry_ms });
@@ -286,13 +286,19 @@
 
 /// Waits until the coordinator of `name` has answered `call`, at most until
 /// `until`; returns false if it has not.
-async fn await_answer(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
-    let caps = node.quotas_of(of);
+async fn await_answer(
+    node: &Arc<Node>,
+    kind: QuotaKind,
+    name: &str,
+    call: u64,
+    until: u64,
+) -> bool {
+    let quotas = node.quotas_of(kind);
     loop {
-        let settled = caps.answered.notified();
-        tokio::pin!(settled);
-        settled.as_mut().enable();
-        let done = match &caps.state().meter {
+        let notified = quotas.answered.notified();
+        tokio::pin!(notified);
+        notified.as_mut().enable();
+        let done = match &quotas.state().meter {
             Some(meter) => {
                 let group = meter.quota_group(name);
                 group.is_none_or(|g| meter.last_answered(&g) >= call)
@@ -302,9 +308,9 @@
         if done {
             return true;
         }
-        settle::settle_due(node, of);
+        settle::settle_due(node, kind);
         let left = Duration::from_millis(until.saturating_sub(node.now()));
-        if tokio::time::timeout(left, settled).await.is_err() {
+        if tokio::time::timeout(left, notified).await.is_err() {
             return false;
         }
     }
@@ -313,7 +319,7 @@
 /// Credit of one request; the unsent part is returned when it is dropped.
 pub(crate) struct Credit {
     node: Arc<Node>,
-    of: QuotaKind,
+    kind: QuotaKind,
     name: Name,
     size: u64,
     sent: bool,
@@ -325,10 +331,10 @@
         Self::new(node, QuotaKind::Targets, target, 1)
     }
 
-    fn new(node: &Arc<Node>, of: QuotaKind, name: &Name, size: u64) -> Self {
+    fn new(node: &Arc<Node>, kind: QuotaKind, name: &Name, size: u64) -> Self {
         Self {
             node: node.clone(),
-            of,
+            kind,
             name: name.clone(),
             size,
             sent: false,
@@ -353,7 +359,7 @@
     }
 
     fn with(&self, act: impl FnOnce(&mut dyn RateLimiter, &str, u64)) {
-        if let Some(meter) = &mut self.node.quotas_of(self.of).state().meter {
+        if let Some(meter) = &mut self.node.quotas_of(self.kind).state().meter {
             act(meter.as_mut(), &self.name, self.size);
         }
     }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -24,12 +24,12 @@
     tokio::spawn(async move {
         loop {
             outbound::sweep(&node);
-            for of in [QuotaKind::Workspaces, QuotaKind::Targets] {
-                refresh(&node, of);
-                let caps = node.quotas_of(of);
-                if caps.in_use() {
-                    refresh_members(&node, caps);
-                    settle_due(&node, of);
+            for kind in [QuotaKind::Workspaces, QuotaKind::Targets] {
+                refresh(&node, kind);
+                let quotas = node.quotas_of(kind);
+                if quotas.in_use() {
+                    refresh_members(&node, quotas);
+                    settle_due(&node, kind);
                 }
             }
             tokio::select! {
@@ -42,16 +42,16 @@
 
 /// Coordinators and fleet size, as passed to the meter.
 pub(super) struct Coordinators {
-    pub(super) homes: Map<Name, PeerProcess>,
+    pub(super) by_group: Map<Name, PeerProcess>,
     pub(super) fleet: FleetView,
 }
 
-fn refresh_members(node: &Node, caps: &Quotas) {
-    let groups = caps.state().groups.clone();
-    let met = coordinators(node, caps.kind, &groups);
+fn refresh_members(node: &Node, quotas: &Quotas) {
+    let groups = quotas.state().groups.clone();
+    let current = coordinators(node, quotas.kind, &groups);
     let now = node.now();
-    if let Some(meter) = &mut caps.state().meter {
-        meter.update_fleet(&met.homes, met.fleet, now);
+    if let Some(meter) = &mut quotas.state().meter {
+        meter.update_fleet(&current.by_group, current.fleet, now);
     }
 }
 
@@ -60,14 +60,14 @@
 ///
 /// Limits of targets require a single coordinator at a time, so where there are
 /// leases nobody substitutes for their holders.
-pub(super) fn coordinators(node: &Node, of: QuotaKind, groups: &[Name]) -> Coordinators {
+pub(super) fn coordinators(node: &Node, kind: QuotaKind, groups: &[Name]) -> Coordinators {
     let now = node.now();
-    let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
+    let stands_in = kind == QuotaKind::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.preferred_daemon(group, now) {
         Some(peer) => Some(peer),
-        None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
+        None => (kind == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
-    let home = |group: &Name| match node.token(group) {
+    let coordinator = |group: &Name| match node.token(group) {
         Some(_) => Some(own_home(node)),
         None => {
             let peer = node.fleet.holder(group, now);
@@ -82,12 +82,14 @@
             })
         }
     };
-    let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
-    let homes = homes.collect();
+    let by_group = groups
+        .iter()
+        .filter_map(|g| Some((g.clone(), coordinator(g)?)));
+    let by_group = by_group.collect();
     let members = node.fleet.members(now);
     let stale = node.view().records.settings_sync.age_ms(now) > STALE_MS;
     Coordinators {
-        homes,
+        by_group,
         fleet: FleetView {
             members: members.unwrap_or(0),
             confirmed: members.is_some(),
@@ -97,52 +99,56 @@
 }
 
 /// Calls the coordinators that are due.
-pub(super) fn settle_due(node: &Arc<Node>, of: QuotaKind) {
+pub(super) fn settle_due(node: &Arc<Node>, kind: QuotaKind) {
     let now = node.now();
     let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
-        let mut state = node.quotas_of(of).state();
+        let mut state = node.quotas_of(kind).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
         let due = meter.due_settlements(now).into_iter();
-        let calls = due.map(|(group, home)| {
-            let call = meter.settle_request(&group, &home, now);
-            (group, home, call)
+        let calls = due.map(|(group, coordinator)| {
+            let call = meter.settle_request(&group, &coordinator, now);
+            (group, coordinator, call)
         });
         calls.collect()
     };
-    for (group, home, call) in calls {
-        tokio::spawn(settle(node.clone(), of, group, home, call));
+    for (group, coordinator, call) in calls {
+        tokio::spawn(settle(node.clone(), kind, group, coordinator, call));
     }
 }
 
 /// Calls the coordinator of `group`, whether it is due or not.
-pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
+pub(crate) fn notify_coordinator(node: &Arc<Node>, kind: QuotaKind, group: Name) {
     let now = node.now();
-    let mut met = coordinators(node, of, std::slice::from_ref(&group));
-    let Some(home) = met.homes.remove(&group).filter(|h| *h != own_home(node)) else {
+    let mut current = coordinators(node, kind, std::slice::from_ref(&group));
+    let Some(coordinator) = current
+        .by_group
+        .remove(&group)
+        .filter(|h| *h != own_home(node))
+    else {
         return;
     };
     let call = {
-        let mut state = node.quotas_of(of).state();
+        let mut state = node.quotas_of(kind).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
-        meter.settle_request(&group, &home, now)
+        meter.settle_request(&group, &coordinator, now)
     };
-    tokio::spawn(settle(node.clone(), of, group, home, call));
+    tokio::spawn(settle(node.clone(), kind, group, coordinator, call));
 }
 
 async fn settle(
     node: Arc<Node>,
-    of: QuotaKind,
+    kind: QuotaKind,
     group: Name,
-    home: PeerProcess,
+    coordinator: PeerProcess,
     call: SettleRequest,
 ) {
-    let reply = match node.fleet.client(&home.peer_addr) {
+    let reply = match node.fleet.client(&coordinator.peer_addr) {
         Some(mut client) => {
-            let answer = client.settle(wire::call(&node, of, &call));
+            let answer = client.settle(wire::call(&node, kind, &call));
             tokio::time::timeout(CALL_TIMEOUT, answer).await
         }
         None => Ok(Err(tonic::Status::unavailable("the home is not known"))),
@@ -150,23 +156,23 @@
     let (reply, ended) = match reply {
         Ok(Ok(reply)) => (Some(wire::from_reply(&node, reply.into_inner())), false),
         Ok(Err(status)) => {
-            log::debug!(target: "caps", peer:% = home.peer_addr, group:%, error:% = status.message(); "home not reached");
+            log::debug!(target: "caps", peer:% = coordinator.peer_addr, group:%, error:% = status.message(); "quota coordinator unreachable");
             (None, connection_refused(&status))
         }
         Err(_) => {
-            log::debug!(target: "caps", peer:% = home.peer_addr, group:%; "home silent");
+            log::debug!(target: "caps", peer:% = coordinator.peer_addr, group:%; "quota coordinator did not answer in time");
             (None, false)
         }
     };
     let now = node.now();
-    let caps = node.quotas_of(of);
-    if let Some(meter) = &mut caps.state().meter {
-        meter.handle_reply(&group, &home, reply.as_ref(), now);
+    let quotas = node.quotas_of(kind);
+    if let Some(meter) = &mut quotas.state().meter {
+        meter.handle_reply(&group, &coordinator, reply.as_ref(), now);
         if ended {
-            meter.process_ended(&home);
+            meter.process_ended(&coordinator);
         }
     }
-    caps.answered.notify_waiters();
+    quotas.answered.notify_waiters();
 }
 
 /// Whether the connection was refused: nothing listens there, so the process
--- a/crates/comfreyhall-node/src/caps/wire.rs
+++ b/crates/comfreyhall-node/src/caps/wire.rs
@@ -8,8 +8,8 @@
 use super::QuotaKind;
 use crate::{node::Node, outbound};
 
-fn kind_from_wire(of: CapsOf) -> QuotaKind {
-    match of {
+fn kind_from_wire(kind: CapsOf) -> QuotaKind {
+    match kind {
         CapsOf::Workspaces => QuotaKind::Workspaces,
         CapsOf::Targets => QuotaKind::Targets,
     }
@@ -17,7 +17,7 @@
 
 /// Encodes a call about quotas of workspaces or targets. One about targets
 /// includes the notices that they sent to this daemon.
-pub(super) fn call(node: &Node, of: QuotaKind, call: &SettleRequest) -> CapCall {
+pub(super) fn call(node: &Node, kind: QuotaKind, call: &SettleRequest) -> CapCall {
     let lines = call.lines.iter().map(|l| CapLine {
         workspace: l.workspace.clone(),
         held: l.balance,
@@ -37,12 +37,12 @@
         as_of: call.as_of,
         term_ms: call.term_ms,
         lines: lines.collect(),
-        of: match of {
+        of: match kind {
             QuotaKind::Workspaces => CapsOf::Workspaces,
             QuotaKind::Targets => CapsOf::Targets,
         }
         .into(),
-        words: match of {
+        words: match kind {
             QuotaKind::Workspaces => Vec::new(),
             QuotaKind::Targets => outbound::own_notices(node, &call.group),
         },
@@ -73,11 +73,15 @@
 }
 
 /// Reads a number of units from another daemon; an invalid one counts as zero.
-fn valid_units(told: f64) -> f64 {
-    if told.is_finite() { told.max(0.0) } else { 0.0 }
+fn valid_units(value: f64) -> f64 {
+    if value.is_finite() {
+        value.max(0.0)
+    } else {
+        0.0
+    }
 }
 
-fn reply(node: &Node, of: QuotaKind, group: &str, reply: SettleReply) -> CapReply {
+fn reply(node: &Node, kind: QuotaKind, group: &str, reply: SettleReply) -> CapReply {
     let lines = reply.lines.into_iter().map(|l| CapSettled {
         workspace: l.workspace,
         grant: l.grant,
@@ -90,7 +94,7 @@
         clock: reply.clock_ms,
         part: reply.lendable_share,
         lines: lines.collect(),
-        words: match of {
+        words: match kind {
             QuotaKind::Workspaces => Vec::new(),
             QuotaKind::Targets => outbound::notices(node, group),
         },
@@ -116,19 +120,19 @@
 
 /// Answers a settlement call of another daemon.
 pub(crate) fn answer(node: &Arc<Node>, message: CapCall) -> CapReply {
-    let of = kind_from_wire(message.of());
+    let kind = kind_from_wire(message.of());
     outbound::merge_notices(node, &message.words, &message.from);
-    super::refresh(node, of);
+    super::refresh(node, kind);
     let call = from_call(message);
     let now = node.now();
-    let met = node.fleet.known_since_ms(&call.from).unwrap_or(now);
-    let answered = match &mut node.quotas_of(of).state().meter {
-        Some(meter) => meter.handle_settle(&call, met, now),
+    let known_since = node.fleet.known_since_ms(&call.from).unwrap_or(now);
+    let answered = match &mut node.quotas_of(kind).state().meter {
+        Some(meter) => meter.handle_settle(&call, known_since, now),
         None => SettleReply {
             boot: node.fleet.boot(),
             clock_ms: now,
             ..SettleReply::default()
         },
     };
-    reply(node, of, &call.group, answered)
+    reply(node, kind, &call.group, answered)
 }
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -85,8 +85,8 @@
 pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.records.topic_rows(topic);
-    shelf.version = shelf.version.max(facts.version);
+    let stored = view.records.topic_rows(topic);
+    stored.version = stored.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
         let known = view.records.topic_rows(topic).rows.get(&fact.key);
@@ -102,15 +102,15 @@
                 .settings_sync
                 .apply(fact.version, way, *asked, now);
         }
-        let news = apply_row(node, &mut view, topic, &fact, now);
-        let shelf = view.records.topic_rows(topic);
-        if news {
-            shelf
+        let relevant = apply_row(node, &mut view, topic, &fact, now);
+        let stored = view.records.topic_rows(topic);
+        if relevant {
+            stored
                 .changed_versions
                 .insert(fact.key.clone(), fact.version);
         }
-        shelf.rows.insert(fact.key.clone(), fact);
-        changed |= news;
+        stored.rows.insert(fact.key.clone(), fact);
+        changed |= relevant;
     }
     drop(view);
     if changed {
@@ -144,7 +144,7 @@
                 return false;
             }
             for problem in warnings {
-                log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
+                log::warn!(target: "follow", version = config.version, problem; "invalid setting replaced by a safe value");
             }
             log_active_config(node, view, &config, fact);
             view.records.settings_sync.set_readable(true);
@@ -172,10 +172,10 @@
                 && let Some(known) = view.boot_of(&target.name)
             {
                 if known.started_at_ms > target.started_at_ms {
-                    log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot passed over");
+                    log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot ignored");
                     return false;
                 }
-                log::info!(target: "follow", id:% = known.id, next:% = target.id; "target started again");
+                log::info!(target: "follow", id:% = known.id, next:% = target.id; "target restarted");
                 remove_target(view, &known.id);
             }
             let known = view.targets.get(&target.id);
@@ -186,10 +186,10 @@
                 };
                 log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = fact.version; "target");
             }
-            let news = known.is_none_or(|t| !routes_alike(t, &target));
+            let relevant = known.is_none_or(|t| !routes_alike(t, &target));
             view.residency.apply_report(&target, now);
             view.targets.insert(target.id.clone(), Arc::new(target));
-            return news;
+            return relevant;
         }
         Ok(Decoded::Other) => {}
         Err(problem) if topic == Topic::Targets => mark_unreadable(view, &fact.key, problem),
@@ -229,7 +229,7 @@
         view.targets.insert(target.id.clone(), Arc::new(target));
     }
     if view.entry_errors.get(name) != Some(&problem) {
-        log::warn!(target: "follow", key:% = name, problem:%; "entry names no target; correct or delete it");
+        log::warn!(target: "follow", key:% = name, problem:%; "entry does not describe a target; correct or delete it");
         view.entry_errors.insert(name.clone(), problem);
     }
 }
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -34,7 +34,7 @@
 /// restarts under its name before its entry expires; the state of the previous
 /// boot must not be assumed for the new one.
 #[test]
-fn apply_new_boot_knows_nothing_of_before() {
+fn apply_new_boot_has_no_earlier_state() {
     let node = node();
     let adapter = AdapterRef {
         model: "m".into(),
@@ -69,7 +69,7 @@
 /// Guards against a single foreign row that hides all targets: another writer
 /// stores a row that is not a target's.
 #[test]
-fn apply_foreign_row_names_no_target() {
+fn apply_foreign_row_is_no_target() {
     let node = node();
     put(&node, "t", "5 ready", 1);
     put(&node, "odd", "nonsense", 2);
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -79,31 +79,36 @@
 
 impl SettingsSender {
     fn recent_recipients(&self) -> Vec<String> {
-        let given = self
+        let recipients = self
             .recipients
             .lock()
             .expect("no holder of this lock panics");
-        given.iter().cloned().collect()
+        recipients.iter().cloned().collect()
     }
 }
 
 /// A transfer to one daemon; it holds its permit until it ends.
 struct Transfer {
     _permit: OwnedSemaphorePermit,
-    rest: Bytes,
+    remaining: Bytes,
     peer: String,
-    given: Arc<Mutex<VecDeque<String>>>,
+    recipients: Arc<Mutex<VecDeque<String>>>,
 }
 
 impl Transfer {
     fn next(mut self) -> Option<(Result<SettingsPart, Status>, Self)> {
-        if self.rest.is_empty() {
-            let mut given = self.given.lock().expect("no holder of this lock panics");
-            given.push_front(std::mem::take(&mut self.peer));
-            given.truncate(NAMED);
+        if self.remaining.is_empty() {
+            let mut recipients = self
+                .recipients
+                .lock()
+                .expect("no holder of this lock panics");
+            recipients.push_front(std::mem::take(&mut self.peer));
+            recipients.truncate(NAMED);
             return None;
         }
-        let piece = self.rest.split_to(CHUNK_BYTES.min(self.rest.len()));
+        let piece = self
+            .remaining
+            .split_to(CHUNK_BYTES.min(self.remaining.len()));
         let part = SettingsPart {
             piece: piece.to_vec(),
             others: Vec::new(),
@@ -119,11 +124,11 @@
     if newest <= ask.since {
         return Err(Status::not_found("nothing newer is known here"));
     }
-    let giving = &node.fleet.settings_sender;
-    let Ok(permit) = giving.permits.clone().try_acquire_owned() else {
+    let sender = &node.fleet.settings_sender;
+    let Ok(permit) = sender.permits.clone().try_acquire_owned() else {
         let part = SettingsPart {
             piece: Vec::new(),
-            others: giving.recent_recipients(),
+            others: sender.recent_recipients(),
         };
         return Ok(futures::stream::iter([Ok(part)]).boxed());
     };
@@ -134,9 +139,9 @@
     };
     let transfer = Transfer {
         _permit: permit,
-        rest: rows.encode_to_vec().into(),
+        remaining: rows.encode_to_vec().into(),
         peer: ask.peer.clone(),
-        given: giving.recipients.clone(),
+        recipients: sender.recipients.clone(),
     };
     Ok(futures::stream::unfold(transfer, |t| async { t.next() }).boxed())
 }
@@ -145,16 +150,16 @@
 #[derive(Debug, Error)]
 enum FetchError {
     /// All its transfers are in use.
-    #[error("the daemon hands settings to others; asking one of {} that it named", .0.len())]
+    #[error("the daemon is busy with other transfers; asking one of {} daemons that it named", .0.len())]
     Busy(Vec<String>),
     /// It could not be reached, or the transfer failed.
-    #[error("the daemon did not hand them over ({0}); asking another one")]
+    #[error("the transfer failed ({0}); asking another daemon")]
     Failed(String),
     /// It stopped sending.
-    #[error("the daemon fell silent; asking another one")]
+    #[error("the daemon stopped sending; asking another one")]
     Silent,
     /// They cannot be decoded, or do not follow on from what is known here.
-    #[error("the settings cannot be used ({0}); asking another one")]
+    #[error("the settings cannot be used ({0}); asking another daemon")]
     Unusable(&'static str),
 }
 
@@ -187,14 +192,14 @@
         CatchUp::Wait(ms) => return Some(Duration::from_millis(ms)),
         CatchUp::AskPeer => {}
     }
-    let Some(giver) = node.fleet.settings_source(node) else {
+    let Some(source) = node.fleet.settings_source(node) else {
         return Some(NO_SOURCE_PAUSE);
     };
-    let named = match fetch(node, &giver).await {
+    let named = match fetch(node, &source).await {
         Ok(()) => return None,
         Err(FetchError::Busy(others)) => others,
         Err(e) => {
-            log::info!(target: "fleet", addr:% = giver, error:% = e; "settings not fetched");
+            log::info!(target: "fleet", addr:% = source, error:% = e; "settings not fetched");
             Vec::new()
         }
     };
@@ -217,11 +222,12 @@
     let transfer = collect(node, addr, since);
     let rows = match tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await {
         Ok(rows) => rows?,
-        Err(_) => return Err(FetchError::Failed("it takes too long".to_string())),
+        Err(_) => return Err(FetchError::Failed("it exceeded the time limit".to_string())),
     };
-    let rows = SettingsRows::decode(rows).map_err(|_| FetchError::Unusable("not rows"))?;
+    let rows =
+        SettingsRows::decode(rows).map_err(|_| FetchError::Unusable("they cannot be decoded"))?;
     if !node.view().records.settings_sync.is_contiguous(rows.since) {
-        return Err(FetchError::Unusable("a gap before them"));
+        return Err(FetchError::Unusable("rows before them are missing"));
     }
     let newest = rows.newest;
     let rows: Vec<Record> = rows.rows.into_iter().map(news::from_wire).collect();
@@ -277,10 +283,10 @@
             .heard_recently(now)
             .map(|(_, p)| p.settings_version)
             .max()?;
-        let givers = state
+        let sources = state
             .heard_recently(now)
             .filter(|(_, p)| p.settings_version == newest && newest > known);
-        givers.map(|(a, _)| a.clone()).choose(&mut rand::rng())
+        sources.map(|(a, _)| a.clone()).choose(&mut rand::rng())
     }
 
     /// A client for the daemon at `addr`, whether it is a known peer or not.
--- a/crates/comfreyhall-node/src/fleet/fetch/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch/tests.rs
@@ -9,7 +9,7 @@
     test_node::node,
 };
 
-fn ask(port: u16) -> SettingsAsk {
+fn request(port: u16) -> SettingsAsk {
     SettingsAsk {
         since: 0,
         peer: format!("127.0.0.1:{port}"),
@@ -32,21 +32,21 @@
 }
 
 async fn all(node: &Node, port: u16) -> Vec<SettingsPart> {
-    let pieces = send_settings(node, &ask(port)).ok().unwrap();
+    let pieces = send_settings(node, &request(port)).ok().unwrap();
     pieces.map(|p| p.unwrap()).collect().await
 }
 
 /// Guards against a daemon whose link carries a copy for each daemon of the
 /// fleet.
 #[tokio::test]
-async fn give_few_at_once_and_names_others() {
+async fn send_settings_limits_transfers() {
     let node = node();
     put(&node, 300_000);
-    let given = all(&node, 1).await;
-    let bytes: usize = given.iter().map(|p| p.piece.len()).sum();
+    let received = all(&node, 1).await;
+    let bytes: usize = received.iter().map(|p| p.piece.len()).sum();
     assert!((300_000..301_000).contains(&bytes), "{bytes}");
     let open: Vec<_> = (0..MAX_TRANSFERS)
-        .map(|i| send_settings(&node, &ask(2 + i as u16)).ok().unwrap())
+        .map(|i| send_settings(&node, &request(2 + i as u16)).ok().unwrap())
         .collect();
     let refused = all(&node, 9).await;
     assert_eq!(refused.len(), 1);
@@ -58,9 +58,12 @@
 }
 
 #[tokio::test]
-async fn give_nothing_to_one_that_has_all() {
+async fn send_settings_nothing_newer() {
     let node = node();
     put(&node, 100);
-    let has = SettingsAsk { since: 9, ..ask(1) };
-    assert!(send_settings(&node, &has).is_err());
+    let complete = SettingsAsk {
+        since: 9,
+        ..request(1)
+    };
+    assert!(send_settings(&node, &complete).is_err());
 }
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -79,14 +79,14 @@
     pub(super) fn due_in_large(&mut self, holding: bool, now: u64) -> Vec<Name> {
         let pace = report_period_ms(self.peers.len());
         let limit = Fleet::alive_ms(self.peers.len());
-        let rested = |p: &Peer| now.saturating_sub(p.called_at_ms) + GOSSIP_PERIOD_MS / 2 >= pace;
+        let is_due = |p: &Peer| now.saturating_sub(p.called_at_ms) + GOSSIP_PERIOD_MS / 2 >= pace;
         let mut out: Vec<Name> = Vec::new();
         let mut known = holding;
         for (addr, peer) in &self.peers {
             let holds = peer.holds() && peer.alive(now, limit);
             known |= holds;
             // Holders call each other as well: only answers carry totals.
-            if (holds || peer.holder_hint) && rested(peer) && !peer.calling {
+            if (holds || peer.holder_hint) && is_due(peer) && !peer.calling {
                 out.push(addr.clone());
             }
         }
@@ -98,7 +98,7 @@
         let idle = self
             .peers
             .iter()
-            .filter(|(a, p)| rested(p) && !p.calling && !out.contains(a));
+            .filter(|(a, p)| is_due(p) && !p.calling && !out.contains(a));
         let idle = idle.map(|(a, _)| a.clone());
         let more = idle.choose_multiple(&mut rand::rng(), others);
         if !more.is_empty() {
@@ -163,24 +163,24 @@
 
     /// Adds a holder's totals to the answer for the daemon `asker` in a large
     /// fleet; `known` is the version of the roster that it has.
-    pub(super) fn add_totals(&self, node: &Node, asker: &Daemon, known: u64, news: &mut News) {
-        if !self.is_large() || news.holdings.is_empty() {
+    pub(super) fn add_totals(&self, node: &Node, asker: &Daemon, known: u64, gossip: &mut News) {
+        if !self.is_large() || gossip.holdings.is_empty() {
             return;
         }
         let now = node.now();
         if now.saturating_sub(self.state().summary.made_at_ms) > SUMMARY_TTL_MS {
-            let summary = self.summarize(node, news, now);
+            let summary = self.summarize(node, gossip, now);
             self.state().summary = summary;
         }
         // Lock order: the view before the state.
         let view = node.view();
         let state = self.state();
         let Summary { roster, totals, .. } = &state.summary;
-        news.roster_version = roster.version;
+        gossip.roster_version = roster.version;
         if roster.version != known {
-            news.roster = roster.members.clone();
+            gossip.roster = roster.members.clone();
         }
-        let but_own = |(id, total): &(Name, TargetTotal)| {
+        let without_own = |(id, total): &(Name, TargetTotal)| {
             let own = view.board.peer_work(id, &asker.id, now);
             TargetTotal {
                 prefill: total.prefill.saturating_sub(own.prefill_tokens),
@@ -189,10 +189,10 @@
                 ..total.clone()
             }
         };
-        news.totals = totals.iter().map(but_own).collect();
+        gossip.totals = totals.iter().map(without_own).collect();
     }
 
-    fn summarize(&self, node: &Node, news: &News, now: u64) -> Summary {
+    fn summarize(&self, node: &Node, gossip: &News, now: u64) -> Summary {
         let mut me = self.me.clone();
         me.ready = node.ready();
         let (roster, used) = {
@@ -200,7 +200,7 @@
             (state.roster(me, now), state.used(now))
         };
         let view = node.view();
-        let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
+        let held = |domain: &str| gossip.holdings.iter().any(|h| h.group == domain);
         let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let totals = targets.filter_map(|t| {
             let work = view.board.reported_work(&t.id, now);
@@ -230,18 +230,21 @@
     }
 
     /// Applies the totals of a holder's answer in a large fleet.
-    pub(super) fn learn_totals(&self, node: &Node, from: &Daemon, news: &News, now: u64) {
-        if news.roster_version == 0 || news.holdings.is_empty() {
+    pub(super) fn learn_totals(&self, node: &Node, from: &Daemon, gossip: &News, now: u64) {
+        if gossip.roster_version == 0 || gossip.holdings.is_empty() {
             return;
         }
         let until = now + 2 * report_period_ms(self.state().peers.len()) + GOSSIP_PERIOD_MS;
-        self.learn_roster(from, news, now);
+        self.learn_roster(from, gossip, now);
         let mut view = node.view();
-        let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
+        let held = |domain: &str| gossip.holdings.iter().any(|h| h.group == domain);
         let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let targets: Vec<Name> = targets.map(|t| t.id.clone()).collect();
-        let totals: Map<&str, &TargetTotal> =
-            news.totals.iter().map(|t| (t.target.as_str(), t)).collect();
+        let totals: Map<&str, &TargetTotal> = gossip
+            .totals
+            .iter()
+            .map(|t| (t.target.as_str(), t))
+            .collect();
         for id in targets {
             let work = totals.get(&*id).map_or(Work::default(), |t| Work {
                 prefill_tokens: t.prefill,
@@ -253,22 +256,22 @@
     }
 
     /// Marks the members of a holder's roster as alive.
-    fn learn_roster(&self, from: &Daemon, news: &News, now: u64) {
-        for member in &news.roster {
+    fn learn_roster(&self, from: &Daemon, gossip: &News, now: u64) {
+        for member in &gossip.roster {
             self.add_peer(&member.peer, false);
         }
         let mut state = self.state();
         let Some(holder) = state.peers.get_mut(from.peer.as_str()) else {
             return;
         };
-        let used = news.totals.iter();
+        let used = gossip.totals.iter();
         holder.reported_use = used
             .map(|t| (t.target.as_str().into(), t.adapters))
             .collect();
-        if news.roster_version != holder.roster.version && !news.roster.is_empty() {
+        if gossip.roster_version != holder.roster.version && !gossip.roster.is_empty() {
             holder.roster = Roster {
-                version: news.roster_version,
-                members: news.roster.clone(),
+                version: gossip.roster_version,
+                members: gossip.roster.clone(),
             };
         }
         let members = std::mem::take(&mut holder.roster.members);
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -21,21 +21,21 @@
     /// be more than are known.
     pub(crate) fn members(&self, now: u64) -> Option<usize> {
         let state = self.state();
-        let told = state
+        let reported = state
             .heard_recently(now)
             .map(|(_, p)| p.members)
             .max()
             .unwrap_or(0);
-        let certain = state.members_listed || told > 0;
-        certain.then(|| told.max(state.peers.len() + 1))
+        let certain = state.members_listed || reported > 0;
+        certain.then(|| reported.max(state.peers.len() + 1))
     }
 
     /// The same for gossip, from the daemon's own knowledge; 0 if it is not
     /// certain.
     pub(super) fn certain_members(&self) -> u32 {
         let mut state = self.state();
-        let told = state.peers.values().map(|p| p.members).max().unwrap_or(0);
-        if told > 0 && state.peers.len() + 1 >= told {
+        let reported = state.peers.values().map(|p| p.members).max().unwrap_or(0);
+        if reported > 0 && state.peers.len() + 1 >= reported {
             // All daemons known to a peer that has the member list are known
             // here.
             state.members_listed = true;
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -183,7 +183,7 @@
             ready: false,
             millicores: (settings.cores * 1_000.0) as u32,
         };
-        let (tell, events) = mpsc::channel(progress::UPDATE_QUEUE_LEN);
+        let (sender, events) = mpsc::channel(progress::UPDATE_QUEUE_LEN);
         let fleet = Self {
             me,
             state: Mutex::default(),
@@ -192,7 +192,7 @@
             next_run: AtomicU64::new(rand::rng().random::<u64>() >> 1),
             settings_sender: fetch::SettingsSender::default(),
             fetch_wanted: Notify::new(),
-            updates_tx: tell,
+            updates_tx: sender,
             updates_rx: Mutex::new(Some(events)),
         };
         for seed in &settings.seeds {
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -34,25 +34,25 @@
     /// Creates the gossip message for the peer at `addr`.
     pub(super) fn gossip_for(&self, node: &Node, addr: &str) -> News {
         let now = node.now();
-        let mut news = self.own_gossip(node, now);
+        let mut gossip = self.own_gossip(node, now);
         let mut state = self.state();
         let known = state.alive_peers(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
-        news.peers = if hub::is_large(state.peers.len()) {
+        gossip.peers = if hub::is_large(state.peers.len()) {
             // The rosters name the rest.
             known.choose_multiple(&mut rand::rng(), NAMED_PEERS)
         } else {
             known.collect()
         };
         if hub::is_large(state.peers.len()) {
-            news.holders = state.holders(now);
+            gossip.holders = state.holders(now);
         }
-        news.runs = state.runs_for(addr, now);
+        gossip.runs = state.runs_for(addr, now);
         if let Some(peer) = state.peers.get(addr) {
-            (news.evidence, news.told_serial) = wire::findings_since(node, peer.findings_acked);
-            news.heard_boot = peer.findings_heard.boot;
-            news.heard_serial = peer.findings_heard.serial;
-            news.echoed_at = peer.clock_ms;
+            (gossip.evidence, gossip.told_serial) = wire::findings_since(node, peer.findings_acked);
+            gossip.heard_boot = peer.findings_heard.boot;
+            gossip.heard_serial = peer.findings_heard.serial;
+            gossip.echoed_at = peer.clock_ms;
         }
         let State {
             peers,
@@ -62,24 +62,24 @@
             handovers: cessions,
             ..
         } = &mut *state;
-        news.cessions = cessions.clone();
+        gossip.cessions = cessions.clone();
         let engines: Set<&str> = runs.iter().map(|(_, r)| &*r.target).collect();
-        for work in &mut news.work {
+        for work in &mut gossip.work {
             if engines.contains(work.target.as_str()) {
                 // Already covered by the runs.
                 work.prefill = 0;
                 work.running = 0;
             }
         }
-        news.work.retain(|w| w.waiting > 0 || w.running > 0);
+        gossip.work.retain(|w| w.waiting > 0 || w.running > 0);
         if let Some(peer) = peers.get_mut(addr) {
             let untold = placed
                 .iter()
                 .filter(|(serial, _)| *serial >= peer.untold_from);
-            news.placed = untold.map(|(_, p)| p.clone()).collect();
+            gossip.placed = untold.map(|(_, p)| p.clone()).collect();
             peer.untold_from = *next;
             let demands = std::mem::take(&mut peer.demands);
-            news.demands = demands
+            gossip.demands = demands
                 .into_iter()
                 .map(|(key, requests)| Demand {
                     key: key.to_string(),
@@ -87,7 +87,7 @@
                 })
                 .collect();
         }
-        news
+        gossip
     }
 
     pub(super) fn own_gossip(&self, node: &Node, now: u64) -> News {
@@ -144,9 +144,9 @@
     /// An answer carries the sender's own version: with this one in it, an
     /// answer of a holder that still regards its fleet as small would renew an
     /// old roster.
-    pub(super) fn add_known_roster(&self, addr: &str, news: &mut News) {
+    pub(super) fn add_known_roster(&self, addr: &str, gossip: &mut News) {
         let state = self.state();
-        news.roster_version = state.peers.get(addr).map_or(0, |p| p.roster.version());
+        gossip.roster_version = state.peers.get(addr).map_or(0, |p| p.roster.version());
     }
 
     /// Adds rows that the peer at `addr` may lack to a call.
@@ -154,7 +154,7 @@
     /// In a large fleet only holders receive them unasked, and pass them on:
     /// rows for randomly called peers, whose recent state is not known, came to
     /// two thirds of the bytes between 89 daemons.
-    pub(super) fn push_rows(&self, node: &Node, addr: &str, news: &mut News) {
+    pub(super) fn push_rows(&self, node: &Node, addr: &str, gossip: &mut News) {
         let (new, cut_off, settings, known) = {
             let state = self.state();
             let Some(peer) = state.peers.get(addr) else {
@@ -176,47 +176,50 @@
         // configuration of 300 KB went to the holders with each report of 90
         // daemons, 0.45 GB between failure domains in six seconds.
         if new || cut_off {
-            add_settings(node, settings, news);
+            add_settings(node, settings, gossip);
         }
-        news.targets = rows_since(node, Topic::Targets, known);
+        gossip.targets = rows_since(node, Topic::Targets, known);
     }
 
     /// Applies a peer's gossip message.
-    pub(super) fn apply_gossip(&self, node: &Arc<Node>, news: News, how: super::Origin) {
-        let Some(from) = news.from.clone() else {
+    pub(super) fn apply_gossip(&self, node: &Arc<Node>, gossip: News, arrival: super::Origin) {
+        let Some(from) = gossip.from.clone() else {
             return;
         };
         let now = node.now();
         self.add_peer(&from.peer, false);
-        for addr in &news.peers {
+        for addr in &gossip.peers {
             self.add_peer(addr, false);
         }
-        wire::apply_findings(node, &news.evidence);
-        outbound::merge_notices(node, &news.words, &from.id);
-        let mut works = self.update_peer(node, &from, &news, now);
-        self.learn_holders(&news.holders, now);
-        if how == super::Origin::Answer {
-            self.learn_totals(node, &from, &news, now);
+        wire::apply_findings(node, &gossip.evidence);
+        outbound::merge_notices(node, &gossip.words, &from.id);
+        let mut work_by_target = self.update_peer(node, &from, &gossip, now);
+        self.learn_holders(&gossip.holders, now);
+        if arrival == super::Origin::Answer {
+            self.learn_totals(node, &from, &gossip, now);
         }
-        let ours = news.cessions.iter().filter(|c| c.to == self.me.peer);
-        for cession in ours {
+        let own_cessions = gossip.cessions.iter().filter(|c| c.to == self.me.peer);
+        for cession in own_cessions {
             node.leases.accept_handover(&cession.group, cession.token);
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
         let alive_for = self.liveness_ms();
         let mut view = node.view();
-        for work in &news.work {
+        for work in &gossip.work {
             let told = Work {
                 prefill_tokens: work.prefill,
                 waiting_tokens: work.waiting,
                 requests: work.running,
             };
-            let sum = works.entry(work.target.as_str().into()).or_default();
+            let sum = work_by_target
+                .entry(work.target.as_str().into())
+                .or_default();
             *sum = sum.plus(told);
         }
-        view.board.set_peer_work(&peer, &works, now + alive_for);
-        for placed in &news.placed {
+        view.board
+            .set_peer_work(&peer, &work_by_target, now + alive_for);
+        for placed in &gossip.placed {
             if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
@@ -226,30 +229,33 @@
                 view.residency.record(&adapter, &target, standing, now);
             }
         }
-        for demand in &news.demands {
+        for demand in &gossip.demands {
             view.count_demand(&demand.key, demand.requests, now);
         }
         drop(view);
-        let age = news.targets_age;
-        let covers = news.targets_version >= node.view().records.targets.version;
-        let settings_as_of = self.settings_as_of(&news);
-        let settings_version = news.settings_version;
+        let age = gossip.targets_age;
+        let covers = gossip.targets_version >= node.view().records.targets.version;
+        let settings_as_of = self.settings_as_of(&gossip);
+        let settings_version = gossip.settings_version;
         // The version that the peer assumes here may be that of an earlier
         // start.
         let settings = match node
             .view()
             .records
             .settings_sync
-            .is_contiguous(news.settings_since)
+            .is_contiguous(gossip.settings_since)
         {
-            true => news.settings,
+            true => gossip.settings,
             false => Vec::new(),
         };
         let origin = Provenance {
             way: Source::Peer(peer.clone()),
             requested_at_ms: now,
         };
-        for (topic, rows) in [(Topic::Settings, settings), (Topic::Targets, news.targets)] {
+        for (topic, rows) in [
+            (Topic::Settings, settings),
+            (Topic::Targets, gossip.targets),
+        ] {
             if rows.is_empty() {
                 continue;
             }
@@ -266,9 +272,9 @@
         let before = in_force.newer_version().map(|h| h.version);
         in_force.peer_reported(&peer, settings_version, settings_as_of, now);
         log_newer_settings(in_force, before, now);
-        let lacking = in_force.newer_version().is_some();
+        let is_behind = in_force.newer_version().is_some();
         drop(view);
-        if lacking {
+        if is_behind {
             self.wake_fetch();
         }
     }
@@ -279,17 +285,18 @@
     /// The age in a message applies to the time it was made, and a message may
     /// stay unread for seconds in a daemon that was frozen or busy. Counted
     /// from the time of reading, an old version would pass for confirmed.
-    fn settings_as_of(&self, news: &News) -> Option<u64> {
-        let known = news.settings_age != u64::MAX && news.echoed_at > 0;
-        let made_after = (known && news.heard_boot == self.me.boot).then_some(news.echoed_at)?;
+    fn settings_as_of(&self, gossip: &News) -> Option<u64> {
+        let known = gossip.settings_age != u64::MAX && gossip.echoed_at > 0;
+        let made_after =
+            (known && gossip.heard_boot == self.me.boot).then_some(gossip.echoed_at)?;
         // A time before this start is useless, because the clock began at the
         // start.
-        made_after.checked_sub(news.settings_age)
+        made_after.checked_sub(gossip.settings_age)
     }
 
     /// Updates a peer's own state; returns its work at engines.
-    fn update_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
-        for holding in &news.holdings {
+    fn update_peer(&self, node: &Node, from: &Daemon, gossip: &News, now: u64) -> Map<Name, Work> {
+        for holding in &gossip.holdings {
             node.leases.observe_token(&holding.group, holding.token);
         }
         let mut state = self.state();
@@ -302,15 +309,15 @@
         }
         peer.heard_at_ms = now;
         peer.holder_hint = false;
-        peer.settings_version = news.settings_version;
-        peer.targets_version = news.targets_version;
-        peer.cut_off = news.cut_off;
-        peer.members = news.members as usize;
-        if news.holdings.is_empty() {
+        peer.settings_version = gossip.settings_version;
+        peer.targets_version = gossip.targets_version;
+        peer.cut_off = gossip.cut_off;
+        peer.members = gossip.members as usize;
+        if gossip.holdings.is_empty() {
             // It no longer aggregates for anybody.
             peer.reported_use.clear();
         }
-        let holdings = news.holdings.iter();
+        let holdings = gossip.holdings.iter();
         peer.holdings = holdings
             .map(|h| (h.group.as_str().into(), h.token))
             .collect();
@@ -319,16 +326,16 @@
             peer.runs = Runs::default();
         }
         peer.daemon = Some(from.clone());
-        peer.findings_acked = match news.heard_boot == self.me.boot {
-            true => news.heard_serial,
+        peer.findings_acked = match gossip.heard_boot == self.me.boot {
+            true => gossip.heard_serial,
             false => 0,
         };
         peer.findings_heard = SyncPosition {
             boot: from.boot,
-            serial: news.told_serial,
+            serial: gossip.told_serial,
         };
-        peer.clock_ms = news.sent_at;
-        peer.runs.reconcile(&news.runs, now);
+        peer.clock_ms = gossip.sent_at;
+        peer.runs.reconcile(&gossip.runs, now);
         peer.runs.work_by_target()
     }
 }
@@ -392,17 +399,17 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.records.topic_rows(topic);
+    let stored = view.records.topic_rows(topic);
     // All rows of settings, so that nobody lacks the newest one; of targets
     // only relevant changes.
     let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
-        Topic::Targets => shelf
+        Topic::Targets => stored
             .changed_versions
             .get(&fact.key)
             .is_some_and(|v| *v > version),
     };
-    shelf.rows.values().filter(newer).map(to_wire).collect()
+    stored.rows.values().filter(newer).map(to_wire).collect()
 }
 
 /// Versions that the sender of a message has.
@@ -414,11 +421,11 @@
 }
 
 impl From<&News> for ReportedVersions {
-    fn from(news: &News) -> Self {
+    fn from(gossip: &News) -> Self {
         Self {
-            settings_version: news.settings_version,
-            targets_version: news.targets_version,
-            targets_age: news.targets_age,
+            settings_version: gossip.settings_version,
+            targets_version: gossip.targets_version,
+            targets_age: gossip.targets_age,
         }
     }
 }
@@ -427,19 +434,19 @@
 /// or none: a peer that has the newest row counts as having those before it. A
 /// peer that does not receive them learns of the newer version, and reads or
 /// fetches it.
-fn add_settings(node: &Node, version: u64, news: &mut News) {
+fn add_settings(node: &Node, version: u64, gossip: &mut News) {
     let rows = rows_since(node, Topic::Settings, version);
     let bytes: usize = rows.iter().map(|r| r.value.len()).sum();
     if bytes <= MAX_SETTINGS_BYTES {
-        news.settings = rows;
-        news.settings_since = version;
+        gossip.settings = rows;
+        gossip.settings_since = version;
     }
 }
 
 /// Adds the rows that a peer lacks to its answer.
-pub(super) fn add_rows(node: &Node, asked: ReportedVersions, news: &mut News) {
-    add_settings(node, asked.settings_version, news);
-    if news.targets_age < asked.targets_age {
-        news.targets = rows_since(node, Topic::Targets, asked.targets_version);
+pub(super) fn add_rows(node: &Node, asked: ReportedVersions, gossip: &mut News) {
+    add_settings(node, asked.settings_version, gossip);
+    if gossip.targets_age < asked.targets_age {
+        gossip.targets = rows_since(node, Topic::Targets, asked.targets_version);
     }
 }
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -96,15 +96,15 @@
         });
         events.len() - 1
     });
-    let told = &mut events[at];
+    let merged = &mut events[at];
     match event.change {
         RunChange::FirstEvent(ms) => {
-            told.first = true;
-            told.waited_ms = ms;
+            merged.first = true;
+            merged.waited_ms = ms;
         }
-        RunChange::Ended => told.ended = true,
-        RunChange::Success(weight) => told.good += weight,
-        RunChange::Failure(weight) => told.bad += weight,
+        RunChange::Ended => merged.ended = true,
+        RunChange::Success(weight) => merged.good += weight,
+        RunChange::Failure(weight) => merged.bad += weight,
     }
 }
 
@@ -118,7 +118,7 @@
     };
     let answer = tokio::time::timeout(CALL_TIMEOUT, client.progress(report)).await;
     if !matches!(answer, Ok(Ok(_))) {
-        log::debug!(target: "fleet", peer:% = holder; "progress not told; the next news tells it");
+        log::debug!(target: "fleet", peer:% = holder; "progress not reported; the next gossip message covers it");
     }
 }
 
@@ -135,7 +135,7 @@
     /// Queues an update of an own run.
     pub(crate) fn send_update(&self, event: RunUpdate) {
         if let Err(e) = self.updates_tx.try_send(event) {
-            log::debug!(target: "fleet", error:% = e; "progress left to the next news");
+            log::debug!(target: "fleet", error:% = e; "progress left to the next gossip message");
         }
     }
 
--- a/crates/comfreyhall-node/src/fleet/runs.rs
+++ b/crates/comfreyhall-node/src/fleet/runs.rs
@@ -88,9 +88,9 @@
 
     /// Replaces the runs by those that the daemon reports, except recently
     /// bound ones.
-    pub(super) fn reconcile(&mut self, told: &[EngineRun], now: u64) {
+    pub(super) fn reconcile(&mut self, reported: &[EngineRun], now: u64) {
         let mut known = std::mem::take(&mut self.0);
-        for run in told {
+        for run in reported {
             let before = known.remove(&run.id);
             self.0.insert(run.id, from_wire(run, before.as_ref()));
         }
--- a/crates/comfreyhall-node/src/fleet/runs/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/runs/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn told(id: u64, target: &str, unread: u64) -> EngineRun {
+fn reported(id: u64, target: &str, unread: u64) -> EngineRun {
     EngineRun {
         id,
         target: target.into(),
@@ -34,12 +34,12 @@
 /// holder binds a run, and the daemon's next message was made before it had the
 /// answer: the message alone does not list all that the daemon runs.
 #[test]
-fn replace_keeps_what_was_just_bound() {
+fn reconcile_keeps_recently_bound() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    runs.reconcile(&[told(2, "t", 50)], 1_010);
-    let works = runs.work_by_target();
-    let work = works.get("t").unwrap();
+    runs.reconcile(&[reported(2, "t", 50)], 1_010);
+    let totals = runs.work_by_target();
+    let work = totals.get("t").unwrap();
     assert_eq!((work.prefill_tokens, work.requests), (150, 2));
     // A message without either run, after the limit: both are gone.
     runs.reconcile(&[], 1_000 + UNREPORTED_MS);
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn replace_goes_on_with_known_run() {
+fn reconcile_keeps_known_run() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
-    runs.reconcile(&[told(1, "t", 0)], 5_000);
+    runs.reconcile(&[reported(1, "t", 0)], 5_000);
     let read = runs.mark_prompt_read(1).unwrap();
     assert_eq!((read.unread_tokens, read.queued_tokens), (0, 300));
     assert_eq!(
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn read_leaves_no_prompt() {
+fn mark_prompt_read_clears_prompt() {
     let mut runs = Runs::default();
     runs.begin(1, run("t", 1_000));
     assert_eq!(runs.mark_prompt_read(1).map(|r| r.unread_tokens), Some(100));
-    let works = runs.work_by_target();
-    let work = works.get("t").unwrap();
+    let totals = runs.work_by_target();
+    let work = totals.get("t").unwrap();
     assert_eq!((work.prefill_tokens, work.requests), (0, 1));
 }
--- a/crates/comfreyhall-node/src/fleet/swap.rs
+++ b/crates/comfreyhall-node/src/fleet/swap.rs
@@ -80,8 +80,8 @@
             let quiet = now.saturating_sub(peer.heard_at_ms);
             // One call per pair, made by the daemon with the lower address.
             let turn = me < &***addr || quiet > SILENT_MS;
-            let rest = peer.heard_at_ms == 0 || quiet > limit;
-            let early = rest
+            let unreachable = peer.heard_at_ms == 0 || quiet > limit;
+            let early = unreachable
                 && now.saturating_sub(peer.called_at_ms) < UNREACHABLE_PAUSE_MS
                 && peer.called_at_ms > 0;
             turn && !early && !peer.calling
@@ -94,10 +94,10 @@
     let Some(mut client) = node.fleet.client(&addr) else {
         return;
     };
-    let mut news = node.fleet.gossip_for(&node, &addr);
-    node.fleet.push_rows(&node, &addr, &mut news);
-    node.fleet.add_known_roster(&addr, &mut news);
-    let answer = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(news)).await;
+    let mut gossip = node.fleet.gossip_for(&node, &addr);
+    node.fleet.push_rows(&node, &addr, &mut gossip);
+    node.fleet.add_known_roster(&addr, &mut gossip);
+    let answer = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(gossip)).await;
     if let Some(peer) = node.fleet.state().peers.get_mut(&addr) {
         peer.calling = false;
     }
@@ -106,9 +106,9 @@
             .fleet
             .apply_gossip(&node, reply.into_inner(), Origin::Answer),
         Ok(Err(status)) => {
-            log::debug!(target: "fleet", peer:% = addr, error:% = status.message(); "peer not reached");
+            log::debug!(target: "fleet", peer:% = addr, error:% = status.message(); "peer unreachable");
         }
-        Err(_) => log::debug!(target: "fleet", peer:% = addr; "peer silent"),
+        Err(_) => log::debug!(target: "fleet", peer:% = addr; "peer did not answer in time"),
     }
 }
 
@@ -160,16 +160,18 @@
         let asked = req.into_inner();
         let addr = asked.from.as_ref().map(|d| d.peer.clone());
         let addr = addr.unwrap_or_default();
-        let lack = ReportedVersions::from(&asked);
+        let versions = ReportedVersions::from(&asked);
         let asker = asked.from.clone();
         let roster = asked.roster_version;
         self.0.fleet.apply_gossip(&self.0, asked, Origin::Call);
-        let mut news = self.0.fleet.gossip_for(&self.0, &addr);
-        add_rows(&self.0, lack, &mut news);
+        let mut gossip = self.0.fleet.gossip_for(&self.0, &addr);
+        add_rows(&self.0, versions, &mut gossip);
         if let Some(asker) = asker {
-            self.0.fleet.add_totals(&self.0, &asker, roster, &mut news);
+            self.0
+                .fleet
+                .add_totals(&self.0, &asker, roster, &mut gossip);
         }
-        Ok(Response::new(news))
+        Ok(Response::new(gossip))
     }
 
     async fn bind(&self, req: Request<BindRequest>) -> Result<Response<BindReply>, Status> {
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -24,7 +24,7 @@
 
 /// A gossip message of the holder at port 100 with its roster, or with the
 /// version of the roster it has from this daemon.
-fn news(roster_version: u64, roster: Vec<Daemon>) -> News {
+fn gossip(roster_version: u64, roster: Vec<Daemon>) -> News {
     News {
         from: Some(daemon(100)),
         holdings: vec![Holding {
@@ -43,7 +43,7 @@
 /// calls. The roster version in a call is the callee's, and must not renew the
 /// caller's last roster.
 #[tokio::test]
-async fn learn_call_renews_no_roster() {
+async fn apply_gossip_call_renews_no_roster() {
     let node = node();
     for port in 200..220 {
         node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
@@ -52,7 +52,7 @@
     let named = |node: &Node| node.addresses().0.iter().any(|a| **a == *off.front);
     let roster = vec![daemon(100), off.clone()];
     node.fleet
-        .apply_gossip(&node, news(5, roster), super::Origin::Answer);
+        .apply_gossip(&node, gossip(5, roster), super::Origin::Answer);
     assert!(named(&node));
     let limit = super::Fleet::alive_ms(21);
     let mut waited = 0;
@@ -60,7 +60,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         waited += 100;
         node.fleet
-            .apply_gossip(&node, news(7, Vec::new()), super::Origin::Call);
+            .apply_gossip(&node, gossip(7, Vec::new()), super::Origin::Call);
     }
     assert!(!named(&node));
 }
@@ -70,7 +70,7 @@
 /// it and still regards its fleet as small. The answer must not carry the
 /// caller's own roster version as if the holder had just made it.
 #[tokio::test]
-async fn news_for_answer_bears_no_known_roster() {
+async fn gossip_for_answer_without_known_roster() {
     let node = node();
     let peer = daemon(100).peer;
     node.fleet.add_peer(&peer, false);
@@ -79,17 +79,17 @@
     }
     let roster = vec![daemon(100)];
     node.fleet
-        .apply_gossip(&node, news(5, roster), super::Origin::Answer);
-    let mut told = node.fleet.gossip_for(&node, &peer);
-    assert_eq!(told.roster_version, 0);
-    node.fleet.add_known_roster(&peer, &mut told);
-    assert_ne!(told.roster_version, 0);
+        .apply_gossip(&node, gossip(5, roster), super::Origin::Answer);
+    let mut reported = node.fleet.gossip_for(&node, &peer);
+    assert_eq!(reported.roster_version, 0);
+    node.fleet.add_known_roster(&peer, &mut reported);
+    assert_ne!(reported.roster_version, 0);
 }
 
 /// Guards against reports that carry a whole configuration again and again,
 /// whether the receiver is cut off or not.
 #[test]
-fn settings_large_in_no_news() {
+fn add_rows_omits_large_settings() {
     let node = node();
     let row = |key: &str, bytes: usize, version| Record {
         key: key.into(),
@@ -107,7 +107,7 @@
             &origin,
         );
     };
-    let told = |settings_version, cut_off| {
+    let reported = |settings_version, cut_off| {
         let ask = News {
             settings_version,
             cut_off,
@@ -118,12 +118,12 @@
         answer.settings.len()
     };
     put(row("version/m.a1", 60, 1));
-    assert_eq!((told(0, false), told(0, true)), (1, 1));
+    assert_eq!((reported(0, false), reported(0, true)), (1, 1));
     put(row("config", 300_000, 2));
     put(row("version/m.a2", 60, 3));
     // A part of them would pass for all.
-    assert_eq!((told(1, false), told(1, true)), (0, 0));
-    assert_eq!((told(2, false), told(2, true)), (1, 1));
+    assert_eq!((reported(1, false), reported(1, true)), (0, 0));
+    assert_eq!((reported(2, false), reported(2, true)), (1, 1));
 }
 
 /// Guards against routes that are denied 3 s after they were added. The store
@@ -131,13 +131,13 @@
 /// larger configuration, and this daemon still waits for its call to fail. It
 /// must count as cut off, or nobody sends it the settings.
 #[tokio::test]
-async fn own_news_behind_is_cut_off() {
+async fn own_gossip_behind_is_cut_off() {
     let node = node();
     let peer = daemon(100);
     node.fleet.add_peer(&peer.peer, false);
     let newer = News {
         settings_version: 9,
-        ..news(0, Vec::new())
+        ..gossip(0, Vec::new())
     };
     let now = node.now();
     let heard = News {
@@ -169,7 +169,7 @@
 /// cut off, and have a configuration of 300 KB. A report to a holder that is
 /// cut off must not carry settings that it has already.
 #[tokio::test]
-async fn push_rows_only_what_is_lacked() {
+async fn push_rows_only_missing() {
     let node = node();
     let rows = vec![Record {
         key: "config".into(),
@@ -183,26 +183,26 @@
         RecordBatch { rows, version: 9 },
         &origin,
     );
-    let told = |settings_version| {
+    let reported = |settings_version| {
         let cut_off = News {
             cut_off: true,
             settings_version,
-            ..news(0, Vec::new())
+            ..gossip(0, Vec::new())
         };
         node.fleet.apply_gossip(&node, cut_off, super::Origin::Call);
         let mut call = News::default();
         node.fleet.push_rows(&node, &daemon(100).peer, &mut call);
         call.settings.len()
     };
-    assert_eq!(told(9), 0);
-    assert_eq!(told(8), 1);
+    assert_eq!(reported(9), 0);
+    assert_eq!(reported(8), 1);
 }
 
 /// Guards against a burst of lease attempts: 360 calls a second in an outage of
 /// the store. Holders cannot renew, and each of 90 daemons tries to acquire
 /// each lease, unless equally placed daemons take turns as well.
 #[tokio::test]
-async fn ahead_equals_take_turns() {
+async fn precedence_equals_take_turns() {
     let node = node();
     for port in 200..210 {
         let heard = News {
@@ -227,7 +227,7 @@
 /// a fleet of 195 knew half the work at their engines. Daemons report every 1.0
 /// to 1.2 s, and a report counted for one second.
 #[tokio::test]
-async fn learn_work_counts_until_next_report() {
+async fn apply_gossip_work_counts_until_next_report() {
     let node = node();
     for port in 1_000..1_194 {
         node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
@@ -238,11 +238,12 @@
         adapter: "m/a".into(),
         unread: 500,
     };
-    let told = News {
+    let reported = News {
         runs: vec![run],
-        ..news(0, Vec::new())
+        ..gossip(0, Vec::new())
     };
-    node.fleet.apply_gossip(&node, told, super::Origin::Call);
+    node.fleet
+        .apply_gossip(&node, reported, super::Origin::Call);
     let late = node.now() + super::hub::report_period_ms(194) + super::GOSSIP_PERIOD_MS;
     assert_eq!(
         node.view()
@@ -256,7 +257,7 @@
 /// Guards against one daemon that keeps the leases of four domains out of five.
 /// It was the first to be ready, and the better placed ones became ready later.
 #[tokio::test]
-async fn better_in_the_group_s_domain() {
+async fn is_better_placed_in_group_domain() {
     let node = node();
     let hear = |port, domain: &str, millicores| {
         let heard = News {
@@ -294,23 +295,23 @@
 /// Guards against an old version that counts as confirmed because of a message
 /// that stayed unread.
 #[tokio::test]
-async fn learn_age_counts_from_when_news_was_made() {
+async fn apply_gossip_age_counts_from_creation() {
     let node = node();
-    let told = |echoed_at, heard_boot| News {
+    let reported = |echoed_at, heard_boot| News {
         settings_age: 10,
         echoed_at,
         heard_boot,
-        ..news(0, Vec::new())
+        ..gossip(0, Vec::new())
     };
     let age = || node.view().records.settings_sync.age_ms(5_000);
     let boot = node.fleet.boot();
     // In the last case the store confirmed it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
-        let odd = told(echoed_at, heard_boot);
+        let odd = reported(echoed_at, heard_boot);
         node.fleet.apply_gossip(&node, odd, super::Origin::Call);
         assert_eq!(age(), u64::MAX);
     }
-    let late = told(1_000, boot);
+    let late = reported(1_000, boot);
     node.fleet.apply_gossip(&node, late, super::Origin::Call);
     assert_eq!(age(), 4_010);
 }
@@ -318,9 +319,9 @@
 /// Guards against a part of newer settings, sent to an earlier start of this
 /// daemon, that passes for all of them.
 #[tokio::test]
-async fn learn_settings_after_gap_not_taken() {
+async fn apply_gossip_settings_after_gap_ignored() {
     let node = node();
-    let told = |settings_since| News {
+    let reported = |settings_since| News {
         settings_version: 12,
         settings_since,
         settings: vec![comfreyhall_protocol::Fact {
@@ -329,12 +330,13 @@
             version: 12,
             deleted: false,
         }],
-        ..news(0, Vec::new())
+        ..gossip(0, Vec::new())
     };
     let newest = || node.view().records.settings_sync.newest();
-    node.fleet.apply_gossip(&node, told(9), super::Origin::Call);
+    node.fleet
+        .apply_gossip(&node, reported(9), super::Origin::Call);
     assert_eq!(newest(), 0);
     node.fleet
-        .apply_gossip(&node, told(0), super::Origin::Answer);
+        .apply_gossip(&node, reported(0), super::Origin::Answer);
     assert_eq!(newest(), 12);
 }
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -70,7 +70,7 @@
     let mut link = StoreLink::new("settings");
     loop {
         let began = node.now();
-        let told = match after {
+        let read_result = match after {
             None => read(&node).await,
             // A long poll would not distinguish a silent store from an idle
             // one.
@@ -80,7 +80,7 @@
                 feed(&node, version).await
             }
         };
-        let (answer, times) = match told {
+        let (answer, times) = match read_result {
             Ok(StoreAnswer { facts, times }) => (Ok(facts), times),
             Err(e) => (Err(e), Times::now(&node)),
         };
@@ -191,11 +191,11 @@
             answer = &mut feed => return receive_feed(node, began, wait, answer?).await,
             () = await_unconfirmed(node) => {}
         }
-        let found = probe(node, version).await?;
-        if !found.facts.rows.is_empty() {
-            return Ok(found);
+        let probed = probe(node, version).await?;
+        if !probed.facts.rows.is_empty() {
+            return Ok(probed);
         }
-        let (covers, as_of) = (found.facts.version, found.times.as_of);
+        let (covers, as_of) = (probed.facts.version, probed.times.as_of);
         node.view()
             .records
             .settings_sync
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -41,11 +41,11 @@
 
 /// Reads the targets when the known ones are too old.
 pub(super) async fn follow_targets(node: Arc<Node>) {
-    let mut away = Outage::default();
+    let mut outage = Outage::default();
     let mut link = StoreLink::new("targets");
     loop {
-        let beat = node.settings().bounds.drain_ms / PARTS_PER_DRAIN;
-        await_age(&node, due_ms(&node, beat)).await;
+        let period_ms = node.settings().bounds.drain_ms / PARTS_PER_DRAIN;
+        await_age(&node, due_ms(&node, period_ms)).await;
         let began = node.now();
         let answer = match node.source.read(Topic::Targets).await {
             Ok(rest) => rest.await,
@@ -53,23 +53,23 @@
         };
         link.note(&node, &answer, began);
         match answer {
-            Ok(listed) => apply_listing(&node, &mut away, listed, began, 2 * beat),
+            Ok(listed) => apply_listing(&node, &mut outage, listed, began, 2 * period_ms),
             Err(_) => link.pause(&node).await,
         }
     }
 }
 
 /// Age in ms at which this daemon reads the targets.
-fn due_ms(node: &Node, beat: u64) -> u64 {
-    let half = (beat / 2).max(1);
-    let drawn = rand::rng().random_range(0..half);
+fn due_ms(node: &Node, period_ms: u64) -> u64 {
+    let half = (period_ms / 2).max(1);
+    let jitter = rand::rng().random_range(0..half);
     if node.fleet.reports_to_holders(node) {
-        return (REPORTING_PARTS * beat as f64) as u64 + drawn;
+        return (REPORTING_PARTS * period_ms as f64) as u64 + jitter;
     }
     match node.fleet.is_large() {
         // A holder's data is old when it reaches the others.
-        true => half + drawn,
-        false => beat + 2 * drawn,
+        true => half + jitter,
+        false => period_ms + 2 * jitter,
     }
 }
 
@@ -91,7 +91,13 @@
     ended_at_ms: u64,
 }
 
-fn apply_listing(node: &Node, away: &mut Outage, listed: RecordBatch, began: u64, beat: u64) {
+fn apply_listing(
+    node: &Node,
+    outage: &mut Outage,
+    listed: RecordBatch,
+    began: u64,
+    period_ms: u64,
+) {
     let now = node.now();
     let last = {
         let mut view = node.view();
@@ -101,13 +107,13 @@
         targets.as_of_ms = last.max(began);
         last
     };
-    if last > 0 && now.saturating_sub(last) > OUTAGE_PERIODS * beat {
-        away.ended_at_ms = now;
+    if last > 0 && now.saturating_sub(last) > OUTAGE_PERIODS * period_ms {
+        outage.ended_at_ms = now;
     }
     let origin = Provenance::store(began);
     facts::apply(node, Topic::Targets, listed.clone(), &origin);
-    let back = (node.settings().bounds.return_s * 1_000.0) as u64;
-    if away.ended_at_ms == 0 || now.saturating_sub(away.ended_at_ms) >= back {
+    let return_ms = (node.settings().bounds.return_s * 1_000.0) as u64;
+    if outage.ended_at_ms == 0 || now.saturating_sub(outage.ended_at_ms) >= return_ms {
         facts::remove_unlisted(node, &listed);
     }
     let targets: Vec<_> = node.view().targets.values().cloned().collect();
--- a/crates/comfreyhall-node/src/follow/tests.rs
+++ b/crates/comfreyhall-node/src/follow/tests.rs
@@ -16,7 +16,7 @@
 /// six seconds. The store rejects 90 daemons, and each retries five times a
 /// second, unless the pause grows with the failures and with the fleet.
 #[test]
-fn pause_ms_fleet_asks_as_few_would() {
+fn pause_ms_limits_calls_of_large_fleet() {
     let few = calls(7, 6_000) * 7;
     let many = calls(90, 6_000) * 90;
     let more = calls(195, 6_000) * 195;
@@ -28,9 +28,9 @@
 #[test]
 fn pause_ms_spread_and_bounded() {
     let all: Vec<u64> = (0..400).map(|draw| pause_ms(3, 7, draw * 7)).collect();
-    let (least, most) = (all.iter().min().unwrap(), all.iter().max().unwrap());
-    assert!(*least >= 300 && *most <= 900, "{least} {most}");
-    assert!(*most - *least > 400);
+    let (lowest, highest) = (all.iter().min().unwrap(), all.iter().max().unwrap());
+    assert!(*lowest >= 300 && *highest <= 900, "{lowest} {highest}");
+    assert!(*highest - *lowest > 400);
     assert!(pause_ms(100, 10_000, u64::MAX) <= 4_500);
     assert!(pause_ms(1, 10_000, 0) <= 300, "the first one soon");
 }
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -56,7 +56,7 @@
         };
         let job = Job::prefetch(copy.adapter, 0, now);
         if jobs.try_send(job).is_err() {
-            log::debug!(target: "keeper", id:% = id; "no copy ordered: the engine's queue is full");
+            log::debug!(target: "keeper", id:% = id; "copy not requested: the engine's queue is full");
         }
     }
 }
@@ -83,7 +83,7 @@
             continue;
         };
         let held = view.residency.copy_count(&adapter);
-        let mut homes: Vec<_> = view
+        let mut engines: Vec<_> = view
             .targets
             .values()
             .filter(|t| t.stage == Stage::Ready && t.has_model(&adapter.model))
@@ -94,9 +94,9 @@
                 ((full, rendezvous_rank(&key, &t.id)), t)
             })
             .collect();
-        homes.sort_by_key(|(rank, _)| *rank);
+        engines.sort_by_key(|(rank, _)| *rank);
         let missing = needed.saturating_sub(held) as usize;
-        let copies = homes.into_iter().take(missing).map(|(_, t)| MissingCopy {
+        let copies = engines.into_iter().take(missing).map(|(_, t)| MissingCopy {
             target: t.clone(),
             adapter: adapter.clone(),
         });
--- a/crates/comfreyhall-node/src/keeper/copies/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/copies/tests.rs
@@ -37,7 +37,7 @@
 /// requests for the adapter were late. It is requested 20 times a second, each
 /// time with 100 ms of prompt, and one engine holds it.
 #[test]
-fn due_hot_adapter_on_several_engines() {
+fn missing_copies_hot_adapter_on_several_engines() {
     let adapter = AdapterRef {
         model: "m".into(),
         adapter: Some("a1".into()),
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -47,7 +47,10 @@
                 CommandReply::Conflict | CommandReply::Silent(_) | CommandReply::Unsent => {}
                 CommandReply::Fenced | CommandReply::Gone | CommandReply::Invalid => {
                     if let Some(loading) = self.take_pending(&adapter) {
-                        finish(loading.waiters, Err("the engine no longer loads it".into()));
+                        finish(
+                            loading.waiters,
+                            Err("the engine no longer loads the adapter".into()),
+                        );
                     }
                 }
             }
@@ -232,7 +235,7 @@
                 .likely_cached(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
-        let done = job.claim();
+        let waiter = job.claim();
         let target = self.target.id.clone();
         self.node.controllers.begin_load(&job.adapter, &target);
         let reply = self.send_command(Action::Load, &job.adapter, version).await;
@@ -250,7 +253,7 @@
                     cached: recent,
                     queued_ms: now.saturating_sub(job.waiting.arrived_ms),
                     wait_reason: job.wait_reason,
-                    waiters: done.into_iter().collect(),
+                    waiters: waiter.into_iter().collect(),
                 };
                 self.add_pending(job.adapter, loading);
                 None
@@ -265,11 +268,11 @@
                     },
                 );
                 let placed = self.placed(version);
-                finish(done, Ok(placed));
+                finish(waiter, Ok(placed));
                 None
             }
             CommandReply::Conflict => {
-                job.yield_to_others(done);
+                job.yield_to_others(waiter);
                 Some(job)
             }
             // Another engine may answer before the state of this one is known.
@@ -277,14 +280,14 @@
             | CommandReply::Fenced
             | CommandReply::Invalid
             | CommandReply::Unsent => {
-                job.yield_to_others(done);
+                job.yield_to_others(waiter);
                 None
             }
             CommandReply::Gone => {
                 if let Some(ticket) = &job.ticket {
                     ticket.note_gone(&target);
                 }
-                job.yield_to_others(done);
+                job.yield_to_others(waiter);
                 None
             }
         }
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -120,9 +120,9 @@
     }
 
     /// Offers the job to the other engines again, as this one cannot serve it.
-    fn yield_to_others(&self, done: Option<Waiter>) {
-        if let (Some(ticket), Some(done)) = (&self.ticket, done) {
-            ticket.put_back(done);
+    fn yield_to_others(&self, waiter: Option<Waiter>) {
+        if let (Some(ticket), Some(waiter)) = (&self.ticket, waiter) {
+            ticket.put_back(waiter);
         }
     }
 }
@@ -165,12 +165,12 @@
     }
 
     /// Whether a model load may start now.
-    fn model_may_load(&self, rate: f64, part: f64, now: u64) -> bool {
+    fn model_may_load(&self, rate: f64, share: f64, now: u64) -> bool {
         let mut models = self
             .model_loads
             .lock()
             .expect("no holder of this lock panics");
-        models.try_start(rate, part, now)
+        models.try_start(rate, share, now)
     }
 
     /// Expected duration of a load in ms.
@@ -251,11 +251,11 @@
                 view.fast_demand.prune(MIN_DEMAND_SCORE, now);
                 view.bind_demand.prune(MIN_DEMAND_SCORE, now);
             }
-            let ours = engines(&node).into_iter();
-            let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
-            let ours: Vec<Arc<Target>> = ours.collect();
-            node.controllers.window().init_for(ours.len());
-            for target in &ours {
+            let managed = engines(&node).into_iter();
+            let managed = managed.filter(|t| node.token(&t.failure_domain).is_some());
+            let managed: Vec<Arc<Target>> = managed.collect();
+            node.controllers.window().init_for(managed.len());
+            for target in &managed {
                 start(&node, target);
             }
             tokio::select! {
@@ -339,8 +339,8 @@
 
 /// Sends `result` to all waiting requests.
 fn finish(waiting: impl IntoIterator<Item = Waiter>, result: Result<Placed, PlacementError>) {
-    for done in waiting {
+    for waiter in waiting {
         // The receiver may be gone already.
-        let _ = done.send(result.clone());
+        let _ = waiter.send(result.clone());
     }
 }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -76,7 +76,7 @@
                 view.unavailable_until.insert(self.target.id.clone(), until);
             }
             CommandReply::Invalid => {
-                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "order refused as invalid");
+                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "command rejected as invalid");
             }
         }
         reply
@@ -84,7 +84,7 @@
 
     /// Sends `order`, and repeats it while there is no answer.
     async fn send_with_retries(&self, order: Command) -> CommandReply {
-        let mut reply = CommandReply::Silent("not given".into());
+        let mut reply = CommandReply::Silent("not sent".into());
         for _ in 0..MAX_ATTEMPTS {
             // The lease may have expired while waiting for an answer.
             if self.node.token(&self.target.failure_domain) != Some(order.token) {
@@ -126,8 +126,8 @@
         let Some((model, load_ms, rate)) = self.next_model() else {
             return;
         };
-        let part = self.group_share();
-        if !self.node.controllers.model_may_load(rate, part, now) {
+        let share = self.group_share();
+        if !self.node.controllers.model_may_load(rate, share, now) {
             self.model_due_ms = now + IDLE_POLL_MS;
             return;
         }
@@ -136,7 +136,7 @@
             adapter: None,
         };
         let reply = self.send_command(Action::Load, &adapter, 0).await;
-        log::info!(target: "keeper", id:% = self.target.id, model:% = adapter.model, reply:? = reply; "model ordered");
+        log::info!(target: "keeper", id:% = self.target.id, model:% = adapter.model, reply:? = reply; "model load requested");
         // Loads queue at the weight store, so one may take several times its
         // own duration.
         self.model_due_ms = self.node.now()
--- a/crates/comfreyhall-node/src/keeper/report.rs
+++ b/crates/comfreyhall-node/src/keeper/report.rs
@@ -83,7 +83,7 @@
             match (held.get(&adapter), listed.contains_key(&adapter)) {
                 (Some(hold), _) => finish(loading.waiters, Ok(self.placed(hold.version))),
                 (None, true) => self.add_pending(adapter, loading),
-                (None, false) => finish(loading.waiters, Err("the order was lost".into())),
+                (None, false) => finish(loading.waiters, Err("the load command was lost".into())),
             }
         }
         for (adapter, version) in listed {
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -10,7 +10,7 @@
 
 impl EngineController {
     pub(super) async fn run(mut self, mut jobs: mpsc::Receiver<Job>) {
-        log::info!(target: "keeper", id:% = self.target.id; "keeping engine");
+        log::info!(target: "keeper", id:% = self.target.id; "engine control started");
         while self.refresh() {
             let wake = self.advance().await;
             let pause = wake.saturating_sub(self.node.now()).clamp(1, IDLE_POLL_MS);
@@ -26,7 +26,7 @@
         }
         self.queue.clear();
         self.clear_pending();
-        log::info!(target: "keeper", id:% = self.target.id; "no longer keeping engine");
+        log::info!(target: "keeper", id:% = self.target.id; "engine control ended");
     }
 
     /// Queues a job; a second prefetch of the same adapter is ignored.
@@ -70,10 +70,10 @@
             }
         }
         self.queue = later;
-        let look = self.pending.values().map(|c| c.poll_at_ms).min();
+        let next_poll = self.pending.values().map(|c| c.poll_at_ms).min();
         let blocked = (!self.queue.is_empty()).then(|| self.node.now() + LOAD_POLL_MS);
         let idle = self.node.now() + IDLE_POLL_MS;
-        look.into_iter().chain(blocked).min().unwrap_or(idle)
+        next_poll.into_iter().chain(blocked).min().unwrap_or(idle)
     }
 
     /// Drops all jobs and pending loads: other engines may serve them.
--- a/crates/comfreyhall-node/src/keeper/ticket.rs
+++ b/crates/comfreyhall-node/src/keeper/ticket.rs
@@ -69,10 +69,10 @@
 impl Ticket {
     /// Creates a ticket for `done` that the engines `among` may serve; engines
     /// found to be gone are recorded in `gone`.
-    pub(super) fn new(done: Waiter, among: Vec<Name>, gone: GoneEngines) -> Self {
+    pub(super) fn new(waiter: Waiter, engines: Vec<Name>, gone: GoneEngines) -> Self {
         Self {
-            waiter: Mutex::new(Some(done)),
-            candidates: among,
+            waiter: Mutex::new(Some(waiter)),
+            candidates: engines,
             gone,
             wait_reason: Mutex::new(""),
         }
@@ -116,8 +116,8 @@
     }
 
     /// Offers the request to the other engines again.
-    pub(super) fn put_back(&self, done: Waiter) {
-        *self.waiter() = Some(done);
+    pub(super) fn put_back(&self, waiter: Waiter) {
+        *self.waiter() = Some(waiter);
     }
 
     /// Records an engine that takes no commands.
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -11,15 +11,15 @@
 /// record of that is lost with the request, the caller never learns which
 /// engine is gone.
 #[tokio::test]
-async fn ensure_gone_engine_is_named() {
+async fn place_adapter_reports_gone_engine() {
     let node = node();
     let (send, mut jobs) = mpsc::channel(1);
     node.controllers.jobs().insert("e".into(), send);
     tokio::spawn(async move {
         let job = jobs.recv().await.unwrap();
-        let done = job.claim();
+        let waiter = job.claim();
         job.ticket.as_ref().unwrap().note_gone(&"e".into());
-        job.yield_to_others(done);
+        job.yield_to_others(waiter);
     });
     let request = PlacementRequest {
         adapter: AdapterRef {
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -78,20 +78,20 @@
         };
         let current = lease.as_ref().and_then(|l| l.token(clock::instant()));
         let lapsed = lease.and_then(|l| l.expired_token().filter(|_| fencing));
-        let ceded = {
-            let ceded = self
+        let handed_over = {
+            let handed_over = self
                 .handed_over
                 .lock()
                 .expect("no holder of this lock panics");
-            ceded.get(group).copied().filter(|_| fencing)
+            handed_over.get(group).copied().filter(|_| fencing)
         };
         let own = current.or(lapsed).map(|t| t * TOKEN_STRIDE);
-        let token = own.max(ceded)?;
-        let beaten = self
+        let token = own.max(handed_over)?;
+        let highest_seen = self
             .highest_seen
             .lock()
             .expect("no holder of this lock panics");
-        let highest = beaten.get(group).copied().unwrap_or(0);
+        let highest = highest_seen.get(group).copied().unwrap_or(0);
         (token > highest).then_some(token)
     }
 
@@ -109,11 +109,11 @@
 
     /// Continues `group` under `token` for a holder that stopped.
     pub(crate) fn accept_handover(&self, group: &str, token: u64) {
-        let mut ceded = self
+        let mut handed_over = self
             .handed_over
             .lock()
             .expect("no holder of this lock panics");
-        let known = ceded.entry(group.into()).or_default();
+        let known = handed_over.entry(group.into()).or_default();
         *known = token.max(*known);
     }
 
@@ -121,11 +121,11 @@
     pub(crate) fn held(&self, fencing: bool) -> Vec<(Name, u64)> {
         let groups: Vec<Name> = {
             let held = self.held.lock().expect("no holder of this lock panics");
-            let ceded = self
+            let handed_over = self
                 .handed_over
                 .lock()
                 .expect("no holder of this lock panics");
-            let mut groups: Vec<Name> = held.keys().chain(ceded.keys()).cloned().collect();
+            let mut groups: Vec<Name> = held.keys().chain(handed_over.keys()).cloned().collect();
             groups.sort();
             groups.dedup();
             groups
@@ -138,15 +138,15 @@
 
     /// Returns for how long no holder of `group` has been known, in ms.
     fn vacant_ms(&self, group: &str, held: bool, now: u64) -> u64 {
-        let mut vacant = self
+        let mut vacant_since = self
             .vacant_since_ms
             .lock()
             .expect("no holder of this lock panics");
         if held {
-            vacant.remove(group);
+            vacant_since.remove(group);
             return 0;
         }
-        let since = vacant.entry(group.into()).or_insert(now);
+        let since = vacant_since.entry(group.into()).or_insert(now);
         now.saturating_sub(*since)
     }
 
@@ -158,11 +158,11 @@
     /// Records a `token` of another holder of `group`, or one that an engine
     /// rejected.
     pub(crate) fn observe_token(&self, group: &str, token: u64) {
-        let mut beaten = self
+        let mut highest_seen = self
             .highest_seen
             .lock()
             .expect("no holder of this lock panics");
-        let highest = beaten.entry(group.into()).or_default();
+        let highest = highest_seen.entry(group.into()).or_default();
         *highest = token.max(*highest);
     }
 
@@ -255,7 +255,7 @@
             Ok(Err(e)) => e.to_string(),
             Err(_) => "no answer in time".to_string(),
         };
-    log::warn!(target: "leases", why; "former leases not looked up; they are taken after a term");
+    log::warn!(target: "leases", why; "leases of the previous start not read; they can be acquired after a term");
     Set::default()
 }
 
@@ -286,15 +286,15 @@
     let call = tokio::time::timeout(term / STEP_TIMEOUT_DIVISOR, lease.release());
     match call.await {
         Ok(Ok(())) => {
-            log::info!(target: "leases", group:% = group; "lease left to a daemon that is better placed");
+            log::info!(target: "leases", group:% = group; "lease released for a better placed daemon");
             node.changed.notify_waiters();
             fleet::notify_all(node).await;
         }
         Ok(Err(e)) => {
-            log::warn!(target: "leases", group:% = group, error:% = e; "lease not given back; tried again")
+            log::warn!(target: "leases", group:% = group, error:% = e; "lease not released; retrying")
         }
         Err(_) => {
-            log::warn!(target: "leases", group:% = group; "giving the lease back is unanswered")
+            log::warn!(target: "leases", group:% = group; "lease release unanswered")
         }
     }
 }
@@ -307,16 +307,16 @@
 /// them tried at once, an outage of the store in a fleet of 90 cost 360 calls a
 /// second for leases that nobody could acquire.
 fn acquire_delay_ms(node: &Node, group: &Name, term_ms: u64) -> u64 {
-    let ahead = node.fleet.precedence(group, node.now());
+    let preceding = node.fleet.precedence(group, node.now());
     // Without the age check, the first of 195 daemons to be ready knew of no
     // other yet, and acquired the leases of four domains out of five.
-    let stranger = *node.settings().domain != **group && node.uptime_ms() < VACANT_TERMS * term_ms;
-    let class = match (ahead.better, node.fleet.is_underpowered() || stranger) {
+    let newcomer = *node.settings().domain != **group && node.uptime_ms() < VACANT_TERMS * term_ms;
+    let class = match (preceding.better, node.fleet.is_underpowered() || newcomer) {
         (true, _) => VACANT_TERMS * term_ms,
         (false, true) => term_ms,
         (false, false) => 0,
     };
-    class + ahead.equals * term_ms / u64::from(STEPS_PER_TERM)
+    class + preceding.equals * term_ms / u64::from(STEPS_PER_TERM)
 }
 
 async fn run_step<R: Rows>(node: &Arc<Node>, group: &Name, lease: &Lease<R>, term: Duration) {
@@ -324,16 +324,16 @@
     let now = node.now();
     let held = before.is_some() || node.fleet.holder(group, now).is_some();
     let vacant = node.leases.vacant_ms(group, held, now);
-    let patience = acquire_delay_ms(node, group, term.as_millis() as u64);
-    let want = node.ready() && vacant >= patience;
+    let delay_ms = acquire_delay_ms(node, group, term.as_millis() as u64);
+    let acquire = node.ready() && vacant >= delay_ms;
     // A recently seen holder makes a store call unnecessary, and a daemon that
     // leaves the lease to others has nothing to acquire.
-    if before.is_none() && (held || !want) {
+    if before.is_none() && (held || !acquire) {
         return;
     }
     let call = tokio::time::timeout(
         term / STEP_TIMEOUT_DIVISOR,
-        lease.step(clock::instant, want),
+        lease.step(clock::instant, acquire),
     );
     record_step(node, group, before, lease, call.await);
 }
@@ -378,7 +378,7 @@
             Ok(Err(e)) => e.to_string(),
             Err(_) => "no answer in time".to_string(),
         };
-        log::warn!(target: "leases", group:% = group, why; "lease not given back");
+        log::warn!(target: "leases", group:% = group, why; "lease not released");
         kept.push(group.clone());
     }
     kept
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -44,8 +44,8 @@
     while !node.draining() {
         let now = node.now();
         // A daemon that has met others need not list them right away.
-        let met = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
-        let unsure = needs_listing(&node, now);
+        let has_peers = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
+        let listing_needed = needs_listing(&node, now);
         let due = listed.is_none_or(|at| now.saturating_sub(at) >= period_ms(&node));
         if !written {
             match write_own_row(&node, &rows, &key).await {
@@ -58,7 +58,7 @@
                     log::warn!(target: "members", error:% = e; "own row not written");
                 }
             }
-        } else if unsure || (due && !met) {
+        } else if listing_needed || (due && !has_peers) {
             match list_members(&node, &rows, &key).await {
                 Ok(()) => {
                     listed = Some(node.now());
@@ -80,7 +80,7 @@
         }
     }
     if let Err(e) = rows.commit(Vec::new(), vec![delete(&key)]).await {
-        log::warn!(target: "members", error:% = e; "own row not dropped");
+        log::warn!(target: "members", error:% = e; "own row not deleted");
     }
 }
 
--- a/crates/comfreyhall-node/src/metrics.rs
+++ b/crates/comfreyhall-node/src/metrics.rs
@@ -95,24 +95,24 @@
         }
     }
 
-    pub(crate) fn request(&self, kind: RouteKind, how: &'static str) {
+    pub(crate) fn request(&self, kind: RouteKind, outcome: &'static str) {
         let kind = match kind {
             RouteKind::Idempotent => "safe",
             RouteKind::NonIdempotent => "unsafe",
             RouteKind::Stream => "stream",
         };
-        let labels = [KeyValue::new("kind", kind), KeyValue::new("how", how)];
+        let labels = [KeyValue::new("kind", kind), KeyValue::new("how", outcome)];
         self.requests.add(1, &labels);
     }
 
     /// Counts a request of `workspace` that was rejected by its quota.
     pub(crate) fn workspace_refusal(&self, workspace: &str, why: &'static str) {
-        let mut named = self.labelled.lock().expect("no holder of this lock panics");
-        let known = named.contains(workspace);
-        if !known && named.len() < MAX_WORKSPACE_LABELS {
-            named.insert(workspace.to_string());
+        let mut labelled = self.labelled.lock().expect("no holder of this lock panics");
+        let known = labelled.contains(workspace);
+        if !known && labelled.len() < MAX_WORKSPACE_LABELS {
+            labelled.insert(workspace.to_string());
         }
-        let label = match named.contains(workspace) {
+        let label = match labelled.contains(workspace) {
             true => workspace.to_string(),
             false => "others".to_string(),
         };
@@ -120,8 +120,8 @@
         self.workspace_refusals.add(1, &labels);
     }
 
-    pub(crate) fn send(&self, how: &'static str) {
-        self.sends.add(1, &[KeyValue::new("how", how)]);
+    pub(crate) fn send(&self, outcome: &'static str) {
+        self.sends.add(1, &[KeyValue::new("how", outcome)]);
     }
 
     pub(crate) fn retry(&self, granted: bool) {
@@ -162,8 +162,8 @@
 
     /// Records that a configuration of `bytes` became active, `ms` after it was
     /// first reported.
-    pub(crate) fn settings(&self, way: &'static str, bytes: usize, ms: u64) {
-        let labels = [KeyValue::new("way", way)];
+    pub(crate) fn settings(&self, source: &'static str, bytes: usize, ms: u64) {
+        let labels = [KeyValue::new("way", source)];
         self.settings_bytes.add(bytes as u64, &labels);
         self.settings_wait.record(ms as f64 / 1_000.0, &labels);
     }
--- a/crates/comfreyhall-node/src/quarantine/confirm.rs
+++ b/crates/comfreyhall-node/src/quarantine/confirm.rs
@@ -32,7 +32,7 @@
 /// Resolves the closed connections of `target`.
 pub(super) async fn run(node: Arc<Node>, target: Name) {
     let ended = ended(&node, &target).await;
-    log::debug!(target: "quarantine", target_id:% = target, ended; "target looked at");
+    log::debug!(target: "quarantine", target_id:% = target, ended; "target checked");
     resolve(&node, &target, ended);
 }
 
--- a/crates/comfreyhall-node/src/quarantine/mod.rs
+++ b/crates/comfreyhall-node/src/quarantine/mod.rs
@@ -152,8 +152,8 @@
         return;
     }
     let first = !state.closed_runs.contains_key(target);
-    let doubts = state.closed_runs.entry(target.clone()).or_default();
-    doubts.insert(fingerprint, ClosedRun { at: now, early });
+    let closed = state.closed_runs.entry(target.clone()).or_default();
+    closed.insert(fingerprint, ClosedRun { at: now, early });
     drop(state);
     if first {
         tokio::spawn(confirm::run(node.clone(), target.clone()));
@@ -183,27 +183,22 @@
 /// `fingerprint` has ended.
 fn is_unresolved(node: &Node, fingerprint: &Fingerprint) -> bool {
     let state = node.quarantine.state();
-    let mut doubts = state.closed_runs.values();
-    doubts.any(|of_target| of_target.contains_key(fingerprint))
+    let mut closed = state.closed_runs.values();
+    closed.any(|of_target| of_target.contains_key(fingerprint))
 }
 
 /// Resolves the closed connections of `target`.
 fn resolve(node: &Arc<Node>, target: &Name, has_ended: bool) {
     let now = node.now();
     let mut state = node.quarantine.state();
-    let doubts = state.closed_runs.remove(target).unwrap_or_default();
+    let closed = state.closed_runs.remove(target).unwrap_or_default();
     if has_ended {
         state.ended_targets.insert(target.clone(), now);
     }
     drop(state);
     if has_ended {
-        for (fingerprint, doubt) in doubts {
-            record_finding(
-                node,
-                fingerprint,
-                ended_finding(target, doubt.early),
-                doubt.at,
-            );
+        for (fingerprint, run) in closed {
+            record_finding(node, fingerprint, ended_finding(target, run.early), run.at);
         }
     }
     node.quarantine.resolved.notify_waiters();
--- a/crates/comfreyhall-node/src/quarantine/wire.rs
+++ b/crates/comfreyhall-node/src/quarantine/wire.rs
@@ -11,20 +11,20 @@
 /// the serial of the last one.
 pub(crate) fn findings_since(node: &Node, serial: u64) -> (Vec<proto::Evidence>, u64) {
     let now = node.now();
-    let (told, last) = node.quarantine.state().known.evidence_since(serial);
-    (told.iter().map(|e| e.to_wire(now)).collect(), last)
+    let (findings, last) = node.quarantine.state().known.evidence_since(serial);
+    (findings.iter().map(|e| e.to_wire(now)).collect(), last)
 }
 
 /// Applies the findings of another daemon.
-pub(crate) fn apply_findings(node: &Arc<Node>, told: &[proto::Evidence]) {
+pub(crate) fn apply_findings(node: &Arc<Node>, findings: &[proto::Evidence]) {
     let now = node.now();
-    for evidence in told {
+    for evidence in findings {
         match Evidence::from_wire(evidence, now) {
             Some(evidence) => {
                 learn(node, evidence);
             }
             None => {
-                log::warn!(target: "quarantine", witness:% = evidence.witness; "finding without a fingerprint passed over; upgrade that daemon");
+                log::warn!(target: "quarantine", witness:% = evidence.witness; "finding without a fingerprint ignored; upgrade that daemon");
             }
         }
     }
--- a/crates/comfreyhall-node/tests/fleet.rs
+++ b/crates/comfreyhall-node/tests/fleet.rs
@@ -77,7 +77,7 @@
 /// lease holders that aggregate it, each daemon exchanges gossip with only a
 /// few of the others at a time.
 #[tokio::test]
-async fn news_reaches_all_through_holders() {
+async fn gossip_reaches_all_through_holders() {
     let route = route(RouteKind::Stream, 1, false);
     let world = scripted_source(route, Some(engine()));
     let script = Arc::new(ScriptedBackend::default());
--- a/crates/comfreyhall-node/tests/quarantine.rs
+++ b/crates/comfreyhall-node/tests/quarantine.rs
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn serve_deadly_held_after_three_targets() {
+async fn serve_deadly_quarantined_after_three_targets() {
     for (kind, attempts) in [
         (RouteKind::Idempotent, 2),
         (RouteKind::NonIdempotent, 1),
@@ -133,7 +133,7 @@
 /// with the same body ends its targets, and against a caller that impersonates
 /// another one by a header of its own.
 #[tokio::test]
-async fn serve_same_body_of_others_is_free() {
+async fn serve_same_body_of_others_is_allowed() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Behavior::Exit);
     until_held(&node, &script).await;
@@ -161,7 +161,7 @@
 /// resets all connections again and again, and a closed connection must not
 /// count as the end of a target.
 #[tokio::test]
-async fn serve_closed_by_living_target_is_free() {
+async fn serve_closed_by_live_target_is_allowed() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Behavior::CloseConnection);
     for i in 0..6 {
@@ -194,7 +194,7 @@
 /// a draining target ends together with its remaining runs, which did not cause
 /// its end.
 #[tokio::test]
-async fn serve_leaving_target_is_no_evidence() {
+async fn serve_draining_target_is_no_evidence() {
     let (node, script, world) = daemon(RouteKind::Idempotent, 2).await;
     always(&script, Behavior::Answer(200, 400));
     let mut calls = Vec::new();
@@ -218,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn serve_ran_whole_clears() {
+async fn serve_completed_run_clears() {
     let (node, script, _) = daemon(RouteKind::Idempotent, 1).await;
     *script.behaviors.lock().unwrap() =
         vec![Behavior::Exit, Behavior::Exit, Behavior::Answer(200, 0)];
