--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -47,14 +47,14 @@
 
 /// The rows of all topics.
 #[derive(Debug, Default)]
-pub(crate) struct FactStore {
+pub(crate) struct RecordStore {
     pub(crate) settings: TopicRows,
     pub(crate) targets: TopicRows,
     /// Synchronization state of the settings.
     pub(crate) settings_sync: SettingsTracker,
 }
 
-impl FactStore {
+impl RecordStore {
     pub(crate) fn topic_rows(&mut self, topic: Topic) -> &mut TopicRows {
         match topic {
             Topic::Settings => &mut self.settings,
@@ -66,7 +66,7 @@
 /// Source of rows, and when they were requested.
 #[derive(Debug)]
 pub(crate) struct Provenance {
-    pub(crate) way: Source,
+    pub(crate) source: Source,
     pub(crate) requested_at_ms: u64,
 }
 
@@ -75,41 +75,41 @@
     pub(crate) fn store(asked: u64) -> Self {
         let way = Source::Store;
         Self {
-            way,
+            source: way,
             requested_at_ms: asked,
         }
     }
 }
 
 /// Applies rows of `topic` that are newer than those known.
-pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
+pub(crate) fn apply(node: &Node, topic: Topic, batch: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
     let stored = view.records.topic_rows(topic);
-    stored.version = stored.version.max(facts.version);
+    stored.version = stored.version.max(batch.version);
     let mut changed = false;
-    for fact in facts.rows {
-        let known = view.records.topic_rows(topic).rows.get(&fact.key);
-        if known.is_some_and(|k| k.version >= fact.version) {
+    for record in batch.rows {
+        let known = view.records.topic_rows(topic).rows.get(&record.key);
+        if known.is_some_and(|k| k.version >= record.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance {
-                way,
+                source: way,
                 requested_at_ms: asked,
             } = origin;
             view.records
                 .settings_sync
-                .apply(fact.version, way, *asked, now);
+                .apply(record.version, way, *asked, now);
         }
-        let relevant = apply_row(node, &mut view, topic, &fact, now);
+        let relevant = apply_row(node, &mut view, topic, &record, now);
         let stored = view.records.topic_rows(topic);
         if relevant {
             stored
                 .changed_versions
-                .insert(fact.key.clone(), fact.version);
+                .insert(record.key.clone(), record.version);
         }
-        stored.rows.insert(fact.key.clone(), fact);
+        stored.rows.insert(record.key.clone(), record);
         changed |= relevant;
     }
     drop(view);
@@ -124,17 +124,17 @@
 /// in the adapters it holds, which its lease holder reports sooner. Gossip
 /// about each such row came to 1.7 GB between failure domains on a calm day of
 /// 89 daemons and 93 targets, which filled the smaller links.
-fn apply_row(node: &Node, view: &mut View, topic: Topic, fact: &Record, now: u64) -> bool {
-    if fact.value.is_none() {
+fn apply_row(node: &Node, view: &mut View, topic: Topic, record: &Record, now: u64) -> bool {
+    if record.value.is_none() {
         if topic == Topic::Targets {
-            view.entry_errors.remove(&fact.key);
-            if let Some(known) = view.boot_of(&fact.key) {
+            view.entry_errors.remove(&record.key);
+            if let Some(known) = view.boot_of(&record.key) {
                 remove_target(view, &known.id);
             }
         }
         return true;
     }
-    match node.source.decode(topic, fact) {
+    match node.source.decode(topic, record) {
         Ok(Decoded::Config { config, warnings }) => {
             if view
                 .config
@@ -146,9 +146,9 @@
             for problem in warnings {
                 log::warn!(target: "follow", version = config.version, problem; "invalid setting replaced by a safe value");
             }
-            log_active_config(node, view, &config, fact);
+            log_active_config(node, view, &config, record);
             view.records.settings_sync.set_readable(true);
-            view.config_key = Some(fact.key.clone());
+            view.config_key = Some(record.key.clone());
             view.ranks = PriorityTable::from_config(&config);
             view.config = Some(Arc::from(config));
         }
@@ -164,7 +164,7 @@
             view.named_versions.insert(adapter, named);
         }
         Ok(Decoded::Target(target)) => {
-            view.entry_errors.remove(&fact.key);
+            view.entry_errors.remove(&record.key);
             // Another boot is searched for only when this one is not known: a
             // scan of all targets for each of their entries would take 4
             // million comparisons a second with 2,200 targets.
@@ -184,7 +184,7 @@
                     Stage::Ready => "ready",
                     Stage::Draining => "draining",
                 };
-                log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = fact.version; "target");
+                log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = record.version; "target");
             }
             let relevant = known.is_none_or(|t| !routes_alike(t, &target));
             view.residency.apply_report(&target, now);
@@ -192,29 +192,29 @@
             return relevant;
         }
         Ok(Decoded::Other) => {}
-        Err(problem) if topic == Topic::Targets => mark_unreadable(view, &fact.key, problem),
+        Err(problem) if topic == Topic::Targets => mark_unreadable(view, &record.key, problem),
         Err(problem) => {
             let key = view.config_key.as_ref();
-            if key.is_none_or(|k| *k == fact.key) {
+            if key.is_none_or(|k| *k == record.key) {
                 view.records.settings_sync.set_readable(false);
             }
-            log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
+            log::warn!(target: "follow", key:% = record.key, problem:%; "row refused; the last good one stays in force");
         }
     }
     true
 }
 
-/// Logs that `config`, the content of `fact`, becomes active.
-fn log_active_config(node: &Node, view: &View, config: &Config, fact: &Record) {
+/// Logs that `config`, the content of `record`, becomes active.
+fn log_active_config(node: &Node, view: &View, config: &Config, record: &Record) {
     let Some(taken) = view.records.settings_sync.last_applied() else {
         return;
     };
-    let bytes = fact.value.as_ref().map_or(0, |v| v.len());
+    let bytes = record.value.as_ref().map_or(0, |v| v.len());
     node.metrics
         .settings(taken.source.label(), bytes, taken.waited_ms);
     let before = view.config.as_ref().map_or(0, |c| c.version);
     let age = view.records.settings_sync.age_ms(taken.applied_at_ms);
-    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
+    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = record.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
 /// Stops new requests to the target listed under `name`, whose entry cannot be
--- a/crates/comfreyhall-node/src/facts/tests.rs
+++ b/crates/comfreyhall-node/src/facts/tests.rs
@@ -10,12 +10,12 @@
 };
 
 fn put(node: &Node, key: &str, value: &'static str, version: u64) {
-    let fact = Record {
+    let record = Record {
         key: key.into(),
         value: Some(Bytes::from_static(value.as_bytes())),
         version,
     };
-    let rows = vec![fact];
+    let rows = vec![record];
     let origin = super::Provenance::store(node.now());
     apply(node, Topic::Targets, RecordBatch { rows, version }, &origin);
 }
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -232,7 +232,7 @@
     let newest = rows.newest;
     let rows: Vec<Record> = rows.rows.into_iter().map(news::from_wire).collect();
     let origin = Provenance {
-        way: Source::Peer(node.fleet.id_of(addr)),
+        source: Source::Peer(node.fleet.id_of(addr)),
         requested_at_ms: asked,
     };
     let version = newest;
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -249,7 +249,7 @@
             false => Vec::new(),
         };
         let origin = Provenance {
-            way: Source::Peer(peer.clone()),
+            source: Source::Peer(peer.clone()),
             requested_at_ms: now,
         };
         for (topic, rows) in [
@@ -375,12 +375,16 @@
     }
 }
 
-pub(super) fn to_wire(fact: &Record) -> comfreyhall_protocol::Fact {
+pub(super) fn to_wire(record: &Record) -> comfreyhall_protocol::Fact {
     comfreyhall_protocol::Fact {
-        key: fact.key.to_string(),
-        value: fact.value.as_ref().map(|v| v.to_vec()).unwrap_or_default(),
-        version: fact.version,
-        deleted: fact.value.is_none(),
+        key: record.key.to_string(),
+        value: record
+            .value
+            .as_ref()
+            .map(|v| v.to_vec())
+            .unwrap_or_default(),
+        version: record.version,
+        deleted: record.value.is_none(),
     }
 }
 
@@ -402,11 +406,11 @@
     let stored = view.records.topic_rows(topic);
     // All rows of settings, so that nobody lacks the newest one; of targets
     // only relevant changes.
-    let newer = |fact: &&Record| match topic {
-        Topic::Settings => fact.version > version,
+    let newer = |record: &&Record| match topic {
+        Topic::Settings => record.version > version,
         Topic::Targets => stored
             .changed_versions
-            .get(&fact.key)
+            .get(&record.key)
             .is_some_and(|v| *v > version),
     };
     stored.rows.values().filter(newer).map(to_wire).collect()
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -96,9 +96,9 @@
         value: Some(vec![b' '; bytes].into()),
         version,
     };
-    let put = |fact: Record| {
-        let version = fact.version;
-        let rows = vec![fact];
+    let put = |record: Record| {
+        let version = record.version;
+        let rows = vec![record];
         let origin = Provenance::store(node.now());
         facts::apply(
             &node,
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -81,17 +81,17 @@
             }
         };
         let (answer, times) = match read_result {
-            Ok(StoreAnswer { facts, times }) => (Ok(facts), times),
+            Ok(StoreAnswer { batch, times }) => (Ok(batch), times),
             Err(e) => (Err(e), Times::now(&node)),
         };
         link.note(&node, &answer, began);
         node.set_settings_unavailable(matches!(answer, Err(SourceError::Unavailable(_))));
         match answer {
-            Ok(facts) => {
-                after = Some(facts.version);
-                let covers = facts.version;
+            Ok(batch) => {
+                after = Some(batch.version);
+                let covers = batch.version;
                 let origin = Provenance::store(times.asked);
-                facts::apply(&node, Topic::Settings, facts, &origin);
+                facts::apply(&node, Topic::Settings, batch, &origin);
                 node.view()
                     .records
                     .settings_sync
@@ -110,7 +110,7 @@
 
 /// An answer about settings with its times.
 struct StoreAnswer {
-    facts: RecordBatch,
+    batch: RecordBatch,
     times: Times,
 }
 
@@ -135,8 +135,8 @@
 async fn read(node: &Node) -> Result<StoreAnswer, SourceError> {
     let times = Times::now(node);
     let rest = node.source.read(Topic::Settings).await?;
-    let facts = receive(node, rest).await?;
-    Ok(StoreAnswer { facts, times })
+    let batch = receive(node, rest).await?;
+    Ok(StoreAnswer { batch, times })
 }
 
 /// Reads the changes after `version`, without waiting for one.
@@ -144,8 +144,8 @@
     let times = Times::now(node);
     let source = &node.source;
     let answer = source.changes(Topic::Settings, version, Duration::ZERO);
-    let facts = receive(node, answer.await?).await?;
-    Ok(StoreAnswer { facts, times })
+    let batch = receive(node, answer.await?).await?;
+    Ok(StoreAnswer { batch, times })
 }
 
 /// Receives the rest of an answer that has begun to arrive.
@@ -163,15 +163,15 @@
     rest: PendingBatch,
 ) -> Result<StoreAnswer, SourceError> {
     let asked = node.now();
-    let facts = receive(node, rest).await?;
+    let batch = receive(node, rest).await?;
     let waited = began + wait.as_millis() as u64;
     // Without changes the answer is made at the end of the wait.
-    let as_of = match facts.rows.is_empty() && asked >= waited {
+    let as_of = match batch.rows.is_empty() && asked >= waited {
         true => waited,
         false => began,
     };
     let times = Times { asked, as_of };
-    Ok(StoreAnswer { facts, times })
+    Ok(StoreAnswer { batch, times })
 }
 
 /// Waits for changes after `version`, and probes meanwhile whether the store
@@ -192,10 +192,10 @@
             () = await_unconfirmed(node) => {}
         }
         let probed = probe(node, version).await?;
-        if !probed.facts.rows.is_empty() {
+        if !probed.batch.rows.is_empty() {
             return Ok(probed);
         }
-        let (covers, as_of) = (probed.facts.version, probed.times.as_of);
+        let (covers, as_of) = (probed.batch.version, probed.times.as_of);
         node.view()
             .records
             .settings_sync
@@ -296,8 +296,8 @@
         let (waited, age) = (now - began, node.view().records.settings_sync.age_ms(now));
         node.metrics.store_read(topic, answer.is_ok());
         match answer {
-            Ok(facts) if self.down => {
-                log::info!(target: "follow", version = facts.version, waited, settings_age = age; "store answers again for {topic}");
+            Ok(batch) if self.down => {
+                log::info!(target: "follow", version = batch.version, waited, settings_age = age; "store answers again for {topic}");
             }
             Ok(_) => {}
             Err(e) if !self.down || *e == SourceError::Compacted => {
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -18,7 +18,7 @@
 use crate::{
     caps::{QuotaKind, Quotas},
     clock,
-    facts::FactStore,
+    facts::RecordStore,
     fleet::Fleet,
     flood::Flood,
     keeper::EngineControllers,
@@ -88,7 +88,7 @@
     pub(crate) mean_prompt: f64,
     /// How long runs hold their places.
     pub(crate) hold: HoldTime,
-    pub(crate) records: FactStore,
+    pub(crate) records: RecordStore,
 }
 
 impl Default for View {
@@ -111,7 +111,7 @@
             hot_until: Map::default(),
             mean_prompt: FIRST_PROMPT,
             hold: HoldTime::default(),
-            records: FactStore::default(),
+            records: RecordStore::default(),
         }
     }
 }
