--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -8,9 +8,9 @@
 use super::{Bind, Bound, Unbound};
 use crate::{
     choose::{self, Plan, Wish},
+    engine_control::{self, Placed},
     fleet::adapter_key,
     flight::Stall,
-    keeper::{self, Placed},
     leases,
     node::Node,
     outbound,
@@ -113,7 +113,7 @@
     let limit = ask.limit_ms();
     // After the load the prompt is still to be read.
     let after = plan.wait_ms as u64;
-    let wish = keeper::PlacementRequest {
+    let wish = engine_control::PlacementRequest {
         adapter: adapter.clone(),
         candidates: plan.picks.clone(),
         version: plan.version,
@@ -124,7 +124,7 @@
     };
     // Others count on the place that this request is about to hold.
     let waits = Stall::begin(node, &plan.target.id, &adapter, plan.tokens);
-    let placed = keeper::place_adapter(node, wish).await;
+    let placed = engine_control::place_adapter(node, wish).await;
     drop(waits);
     placed.map_err(|e| Unbound::Unplaced {
         why: e.why,
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -13,8 +13,8 @@
 };
 
 use crate::{
+    engine_control::EngineCandidate,
     flight::Seat,
-    keeper::EngineCandidate,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
 };
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/engine_control/mod.rs
@@ -9,13 +9,13 @@
 //! load more adapters than it has slots crashes, along with everything that
 //! runs on it.
 
+mod command;
 mod copies;
 mod load;
-mod order;
 mod report;
+mod request;
 mod task;
 mod ticket;
-mod wish;
 
 use std::{
     sync::{
@@ -31,8 +31,8 @@
 
 use self::ticket::{Ticket, Waiter};
 pub(crate) use self::{
+    request::{EngineCandidate, PlacementRequest, place_adapter},
     ticket::{Placed, PlacementError},
-    wish::{EngineCandidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
--- a/crates/comfreyhall-node/src/fleet/swap.rs
+++ b/crates/comfreyhall-node/src/fleet/exchange.rs
@@ -14,10 +14,10 @@
 use super::{
     Fleet, GOSSIP_PERIOD_MS, Origin, State,
     fetch::{self, ChunkStream},
+    gossip::{ReportedVersions, add_rows},
     hub,
-    news::{ReportedVersions, add_rows},
 };
-use crate::{bind, caps, node::Node};
+use crate::{bind, node::Node, quotas};
 
 /// Longest duration of one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -185,7 +185,7 @@
     }
 
     async fn settle(&self, req: Request<CapCall>) -> Result<Response<CapReply>, Status> {
-        Ok(Response::new(caps::answer(&self.0, req.into_inner())))
+        Ok(Response::new(quotas::answer(&self.0, req.into_inner())))
     }
 
     async fn progress(
--- a/crates/comfreyhall-node/src/fleet/fetch.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch.rs
@@ -28,12 +28,12 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Status, transport::Channel};
 
-use super::{Fleet, news};
+use super::{Fleet, gossip};
 use crate::{
-    facts::{self, Provenance},
     follow,
     node::Node,
     ports::{Record, RecordBatch, Topic},
+    records::{self, Provenance},
 };
 
 /// Concurrent transfers: with one, a daemon that freezes in the middle would
@@ -135,7 +135,7 @@
     let rows = SettingsRows {
         since: ask.since,
         newest,
-        rows: news::rows_since(node, Topic::Settings, ask.since),
+        rows: gossip::rows_since(node, Topic::Settings, ask.since),
     };
     let transfer = Transfer {
         _permit: permit,
@@ -230,13 +230,13 @@
         return Err(FetchError::Unusable("rows before them are missing"));
     }
     let newest = rows.newest;
-    let rows: Vec<Record> = rows.rows.into_iter().map(news::from_wire).collect();
+    let rows: Vec<Record> = rows.rows.into_iter().map(gossip::from_wire).collect();
     let origin = Provenance {
         source: Source::Peer(node.fleet.id_of(addr)),
         requested_at_ms: asked,
     };
     let version = newest;
-    facts::apply(
+    records::apply(
         node,
         Topic::Settings,
         RecordBatch { rows, version },
--- a/crates/comfreyhall-node/src/fleet/fetch/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/fetch/tests.rs
@@ -3,9 +3,9 @@
 
 use super::{MAX_TRANSFERS, send_settings};
 use crate::{
-    facts::{self, Provenance},
     node::Node,
     ports::{Record, RecordBatch, Topic},
+    records::{self, Provenance},
     test_node::node,
 };
 
@@ -23,7 +23,7 @@
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(
+    records::apply(
         node,
         Topic::Settings,
         RecordBatch { rows, version: 9 },
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/gossip.rs
@@ -11,12 +11,12 @@
 
 use super::{Fleet, Peer, State, hub, parse_adapter_key, runs::Runs};
 use crate::{
-    facts::{self, Provenance},
     follow,
     node::Node,
     outbound,
     ports::{Record, RecordBatch, Topic},
     quarantine::wire,
+    records::{self, Provenance},
 };
 
 /// Peers named in one call of a large fleet.
@@ -261,7 +261,7 @@
             }
             let rows: Vec<Record> = rows.into_iter().map(from_wire).collect();
             let version = rows.iter().map(|f| f.version).max().unwrap_or(0);
-            facts::apply(node, topic, RecordBatch { rows, version }, &origin);
+            records::apply(node, topic, RecordBatch { rows, version }, &origin);
             follow::start_if_synced(node);
         }
         let mut view = node.view();
--- a/crates/comfreyhall-node/src/fleet/members.rs
+++ b/crates/comfreyhall-node/src/fleet/members.rs
@@ -9,7 +9,7 @@
 use comfreyhall_domain::Name;
 use comfreyhall_routing::selection::rendezvous_rank;
 
-use super::{Fleet, holding::MIN_HOLDER_MILLICORES, hub};
+use super::{Fleet, holders::MIN_HOLDER_MILLICORES, hub};
 
 impl Fleet {
     /// Records that the member list was read from the store.
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -8,21 +8,21 @@
 //! are not given to callers. In a large fleet ([`hub`]) gossip goes through the
 //! lease holders.
 
+mod exchange;
 mod fetch;
-mod holding;
+mod gossip;
+mod holders;
 mod hub;
 mod members;
-mod news;
 mod progress;
 mod runs;
-mod swap;
 
 pub(crate) use self::{
+    exchange::{announce_lease, notify_all, notify_findings, spawn},
     progress::{RunChange, RunUpdate},
     runs::Run,
-    swap::{announce_lease, notify_all, notify_findings, spawn},
 };
-pub use swap::serve_peers;
+pub use exchange::serve_peers;
 
 use std::{
     collections::VecDeque,
@@ -250,7 +250,7 @@
         let state = self.state();
         state.peers.get(addr).is_some_and(|p| {
             let last = p.heard_at_ms.max(p.vouched_at_ms).max(p.met_at_ms);
-            now.saturating_sub(last) >= swap::FORGET_MS / 2
+            now.saturating_sub(last) >= exchange::FORGET_MS / 2
         })
     }
 
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -2,11 +2,11 @@
 
 use comfreyhall_protocol::{Daemon, EngineRun, Holding, News};
 
-use super::news::{ReportedVersions, add_rows};
+use super::gossip::{ReportedVersions, add_rows};
 use crate::{
-    facts::{self, Provenance},
     node::Node,
     ports::{Record, RecordBatch, Topic},
+    records::{self, Provenance},
     test_node::node,
 };
 
@@ -100,7 +100,7 @@
         let version = record.version;
         let rows = vec![record];
         let origin = Provenance::store(node.now());
-        facts::apply(
+        records::apply(
             &node,
             Topic::Settings,
             RecordBatch { rows, version },
@@ -155,7 +155,7 @@
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(
+    records::apply(
         &node,
         Topic::Settings,
         RecordBatch { rows, version: 9 },
@@ -177,7 +177,7 @@
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(
+    records::apply(
         &node,
         Topic::Settings,
         RecordBatch { rows, version: 9 },
--- a/crates/comfreyhall-node/src/follow.rs
+++ b/crates/comfreyhall-node/src/follow.rs
@@ -16,9 +16,9 @@
 use rand::Rng;
 
 use crate::{
-    facts::{self, Provenance},
     node::Node,
     ports::{PendingBatch, RecordBatch, SourceError, Topic},
+    records::{self, Provenance},
 };
 
 /// Longest wait of one feed call. It is far shorter than the store allows, so
@@ -91,7 +91,7 @@
                 after = Some(batch.version);
                 let covers = batch.version;
                 let origin = Provenance::store(times.asked);
-                facts::apply(&node, Topic::Settings, batch, &origin);
+                records::apply(&node, Topic::Settings, batch, &origin);
                 node.view()
                     .records
                     .settings_sync
--- a/crates/comfreyhall-node/src/follow/targets.rs
+++ b/crates/comfreyhall-node/src/follow/targets.rs
@@ -16,9 +16,9 @@
 
 use super::{StoreLink, start_if_synced};
 use crate::{
-    facts::{self, Provenance},
     node::Node,
     ports::{RecordBatch, Topic},
+    records::{self, Provenance},
 };
 
 /// Parts that the bound for draining targets is divided into. The data is
@@ -111,10 +111,10 @@
         outage.ended_at_ms = now;
     }
     let origin = Provenance::store(began);
-    facts::apply(node, Topic::Targets, listed.clone(), &origin);
+    records::apply(node, Topic::Targets, listed.clone(), &origin);
     let return_ms = (node.settings().bounds.return_s * 1_000.0) as u64;
     if outage.ended_at_ms == 0 || now.saturating_sub(outage.ended_at_ms) >= return_ms {
-        facts::remove_unlisted(node, &listed);
+        records::remove_unlisted(node, &listed);
     }
     let targets: Vec<_> = node.view().targets.values().cloned().collect();
     node.backend.retain(&targets);
--- a/crates/comfreyhall-node/src/lib.rs
+++ b/crates/comfreyhall-node/src/lib.rs
@@ -7,16 +7,14 @@
 //! through the traits of [`ports`] only: a driver fills them for each wire.
 
 mod bind;
-mod caps;
 mod choose;
 mod clock;
+mod engine_control;
 mod events;
-mod facts;
 mod fleet;
 mod flight;
 mod flood;
 mod follow;
-mod keeper;
 mod leases;
 mod members;
 mod metrics;
@@ -24,6 +22,8 @@
 mod outbound;
 pub mod ports;
 mod quarantine;
+mod quotas;
+mod records;
 mod relay;
 mod serve;
 mod stop;
@@ -43,9 +43,9 @@
     fleet::spawn(node);
     members::spawn(node, rows.clone());
     leases::spawn(node, rows);
-    keeper::spawn(node);
+    engine_control::spawn(node);
     quarantine::spawn(node);
-    caps::spawn(node);
+    quotas::spawn(node);
 }
 
 #[cfg(test)]
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -16,17 +16,17 @@
 use tokio::sync::Notify;
 
 use crate::{
-    caps::{QuotaKind, Quotas},
     clock,
-    facts::RecordStore,
+    engine_control::EngineControllers,
     fleet::Fleet,
     flood::Flood,
-    keeper::EngineControllers,
     leases::Leases,
     metrics::Metrics,
     outbound::Outbound,
     ports::{Backend, Source},
     quarantine::QuarantineTracker,
+    quotas::{QuotaKind, Quotas},
+    records::RecordStore,
 };
 
 /// Half-life of the wish for an adapter, in ms: popularity in the
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -14,8 +14,8 @@
 
 use super::{log, shut::unavailable};
 use crate::{
-    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
+    quotas::{self, Credit, QuotaError, QuotaKind},
 };
 
 /// How long others are told that a target leaves, in ms: news reaches everybody
@@ -30,7 +30,7 @@
     }
     let limited: Vec<(Name, Rate)> = gates.limits(now).map(|(t, r)| (t.clone(), r)).collect();
     drop(gates);
-    let groups = caps::groups(node);
+    let groups = quotas::groups(node);
     let kept = limited.into_iter().filter_map(|(target, rate)| {
         let group = group_of(node, &target, &groups)?;
         let cap = Quota {
@@ -66,7 +66,7 @@
     {
         return Ok(None);
     }
-    let credit = caps::reserve(node, QuotaKind::Targets, &target.id, 1).await;
+    let credit = quotas::reserve(node, QuotaKind::Targets, &target.id, 1).await;
     credit.map(Some)
 }
 
@@ -85,9 +85,9 @@
 
 /// Tells the home of `target` what it said here.
 pub(super) fn announce(node: &Arc<Node>, target: &Name) {
-    let groups = caps::groups(node);
+    let groups = quotas::groups(node);
     if let Some(group) = group_of(node, target, &groups) {
-        caps::notify_coordinator(node, QuotaKind::Targets, group);
+        quotas::notify_coordinator(node, QuotaKind::Targets, group);
     }
 }
 
@@ -132,7 +132,7 @@
     if known.is_empty() && leaving.is_empty() {
         return Vec::new();
     }
-    let groups = caps::groups(node);
+    let groups = quotas::groups(node);
     let told = known.iter().filter(|(target, word)| {
         group_of(node, target, &groups).is_some_and(|group| wanted(word, &group))
     });
@@ -187,6 +187,6 @@
         }
     }
     if changed {
-        caps::refresh(node, QuotaKind::Targets);
+        quotas::refresh(node, QuotaKind::Targets);
     }
 }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -25,12 +25,12 @@
     shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
-    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
     ports::{
         Command, CommandReply, ProbeResult, Report, ReportError, Response, SendError, SendOptions,
         TargetReply,
     },
+    quotas::{self, Credit, QuotaError, QuotaKind},
 };
 
 /// Part of a rest, as its divisor, by which it is lengthened at most.
@@ -80,7 +80,7 @@
         let age = sent.map_or(0, |s| now - s);
         log::changed(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
-            caps::refresh(node, QuotaKind::Targets);
+            quotas::refresh(node, QuotaKind::Targets);
             limits::announce(node, &target.id);
         }
     }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -5,8 +5,8 @@
 
 use super::{Job, NOT_READY_MS, Reply};
 use crate::{
-    caps::{self, QuotaError, QuotaKind},
     node::Node,
+    quotas::{self, QuotaError, QuotaKind},
 };
 
 /// When a caller whose workspace may use nothing should come back, in ms: its
@@ -143,7 +143,7 @@
         let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
         let size = cap.cost(tokens);
         self.node.quotas.sync_config(&self.node, config);
-        match caps::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
+        match quotas::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
                 None
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -28,11 +28,11 @@
 
 use self::{caller::Basis, place::Found, send::Next};
 use crate::{
-    caps::Credit,
     choose::{self, Need, Plan, Wish},
     fleet::adapter_key,
     node::{InFlightGuard, Node},
     quarantine::Trial,
+    quotas::Credit,
     stop,
 };
 
