--- a/crates/comfreyhall-node/src/engine_control/load.rs
+++ b/crates/comfreyhall-node/src/engine_control/load.rs
@@ -86,15 +86,15 @@
             return;
         };
         let version = loading.version;
-        let hold = HeldAdapter {
+        let held_adapter = HeldAdapter {
             version,
             since_ms: now,
         };
-        self.held.insert(adapter.clone(), hold);
-        let standing = Presence::Held(version);
+        self.held.insert(adapter.clone(), held_adapter);
+        let presence = Presence::Held(version);
         let mut view = self.node.view();
         view.residency
-            .record(adapter, &self.target.id, standing, now);
+            .record(adapter, &self.target.id, presence, now);
         drop(view);
         self.node
             .fleet
@@ -145,9 +145,9 @@
     /// Held adapters for which a newer version has been named.
     fn outdated(&self) -> Vec<(AdapterRef, NamedVersion)> {
         let view = self.node.view();
-        let newer = self.held.iter().filter_map(|(adapter, hold)| {
+        let newer = self.held.iter().filter_map(|(adapter, held_adapter)| {
             let named = view.named_versions.get(adapter)?;
-            (named.version > hold.version).then(|| (adapter.clone(), *named))
+            (named.version > held_adapter.version).then(|| (adapter.clone(), *named))
         });
         newer.collect()
     }
@@ -157,10 +157,10 @@
         if !job.is_open() {
             return None;
         }
-        if let Some(hold) = self.held.get(&job.adapter)
-            && hold.version >= job.version
+        if let Some(held_adapter) = self.held.get(&job.adapter)
+            && held_adapter.version >= job.version
         {
-            let placed = self.placed(hold.version);
+            let placed = self.placed(held_adapter.version);
             finish(job.claim(), Ok(placed));
             return None;
         }
@@ -168,8 +168,8 @@
             loading.waiters.extend(job.claim());
             return None;
         }
-        if let Some(blocked) = self.wait_reason(&job) {
-            return Some(job.wait_for(blocked, &self.target.id));
+        if let Some(wait_reason) = self.wait_reason(&job) {
+            return Some(job.wait_for(wait_reason, &self.target.id));
         }
         // The result holds for all jobs of this pass. Checking again for each
         // of a hundred waiting jobs saturated the lease holder's core under
@@ -197,21 +197,21 @@
         // Another engine is loading the adapter for another request, and will
         // serve this one from its queue as well, without a second load.
         let engines = job.ticket.as_ref().map_or(&[][..], |t| t.candidates());
-        let keepers = &self.node.controllers;
-        if keepers.is_loading_elsewhere(&job.adapter, &self.target.id, engines) {
+        let controllers = &self.node.controllers;
+        if controllers.is_loading_elsewhere(&job.adapter, &self.target.id, engines) {
             return Some("elsewhere");
         }
         if self.pending.len() >= MAX_PENDING_LOADS {
             return Some("engine");
         }
-        let recent = {
+        let cached = {
             let view = self.node.view();
             view.residency
                 .likely_cached(&job.adapter, &self.target.id, now)
         };
         // Cached weights do not come from the weight store.
         let window = self.node.policies().load_window;
-        (window && !recent && self.node.controllers.store_full()).then_some("weight store")
+        (window && !cached && self.node.controllers.store_full()).then_some("weight store")
     }
 
     /// Result of a placement on this engine.
@@ -224,16 +224,16 @@
 
     pub(super) async fn load(&mut self, job: Job) -> Option<Job> {
         let now = self.node.now();
-        let (version, recent) = {
+        let (version, cached) = {
             let view = self.node.view();
             let named = view
                 .named_versions
                 .get(&job.adapter)
                 .map_or(0, |n| n.version);
-            let recent = view
+            let cached = view
                 .residency
                 .likely_cached(&job.adapter, &self.target.id, now);
-            (named.max(job.version), recent)
+            (named.max(job.version), cached)
         };
         let waiter = job.claim();
         let target = self.target.id.clone();
@@ -245,12 +245,12 @@
         match reply {
             CommandReply::Accepted => {
                 let now = self.node.now();
-                let expected = self.node.controllers.expected_load_ms(recent);
+                let expected = self.node.controllers.expected_load_ms(cached);
                 let loading = PendingLoad {
                     version,
                     started_at_ms: now,
                     poll_at_ms: now + ((expected * FIRST_POLL_FRACTION) as u64).max(LOAD_POLL_MS),
-                    cached: recent,
+                    cached,
                     queued_ms: now.saturating_sub(job.waiting.arrived_ms),
                     wait_reason: job.wait_reason,
                     waiters: waiter.into_iter().collect(),
@@ -259,14 +259,9 @@
                 None
             }
             CommandReply::Holds => {
-                let since = self.node.now();
-                self.held.insert(
-                    job.adapter,
-                    HeldAdapter {
-                        version,
-                        since_ms: since,
-                    },
-                );
+                let since_ms = self.node.now();
+                self.held
+                    .insert(job.adapter, HeldAdapter { version, since_ms });
                 let placed = self.placed(version);
                 finish(waiter, Ok(placed));
                 None
@@ -295,8 +290,8 @@
 
     /// Ensures that a slot is free; returns false if all are in use.
     pub(super) async fn free_slot(&mut self) -> bool {
-        let places = self.slots();
-        while self.held.len() + self.pending.len() >= places {
+        let slots = self.slots();
+        while self.held.len() + self.pending.len() >= slots {
             let Some(out) = self.choose_victim() else {
                 return false;
             };
@@ -316,15 +311,15 @@
         let pinned = self.node.fleet.in_use_at(&self.target.id, now);
         let view = self.node.view();
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
-        let occupants: Vec<EvictionCandidate<AdapterRef>> = unused
-            .map(|(adapter, hold)| EvictionCandidate {
+        let evictable: Vec<EvictionCandidate<AdapterRef>> = unused
+            .map(|(adapter, held_adapter)| EvictionCandidate {
                 score: view.demand.score(&adapter_key(adapter), now),
                 other_copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
-                age_ms: now.saturating_sub(hold.since_ms),
+                age_ms: now.saturating_sub(held_adapter.since_ms),
                 key: adapter.clone(),
             })
             .collect();
-        select_victim(&occupants).map(|o| o.key.clone())
+        select_victim(&evictable).map(|o| o.key.clone())
     }
 }
--- a/crates/comfreyhall-node/src/engine_control/mod.rs
+++ b/crates/comfreyhall-node/src/engine_control/mod.rs
@@ -174,16 +174,16 @@
     }
 
     /// Expected duration of a load in ms.
-    pub(crate) fn expected_load_ms(&self, recent: bool) -> f64 {
+    pub(crate) fn expected_load_ms(&self, cached: bool) -> f64 {
         let times = self
             .load_times
             .lock()
             .expect("no holder of this lock panics");
-        times[usize::from(recent)]
+        times[usize::from(cached)]
     }
 
-    fn record_load(&self, recent: bool, load_ms: u64, now: u64) {
-        if !recent {
+    fn record_load(&self, cached: bool, load_ms: u64, now: u64) {
+        if !cached {
             let full = self.store_full();
             self.window().record_load(load_ms, full, now);
         }
@@ -191,7 +191,7 @@
             .load_times
             .lock()
             .expect("no holder of this lock panics");
-        let time = &mut times[usize::from(recent)];
+        let time = &mut times[usize::from(cached)];
         *time += LOAD_EWMA_WEIGHT * (load_ms as f64 - *time);
     }
 
--- a/crates/comfreyhall-node/src/engine_control/report.rs
+++ b/crates/comfreyhall-node/src/engine_control/report.rs
@@ -62,15 +62,9 @@
                     model: model.model.clone(),
                     adapter: Some(name.clone()),
                 };
-                let since = self.held.get(&adapter).map_or(0, |h| h.since_ms);
+                let since_ms = self.held.get(&adapter).map_or(0, |h| h.since_ms);
                 let version = *version;
-                held.insert(
-                    adapter,
-                    HeldAdapter {
-                        version,
-                        since_ms: since,
-                    },
-                );
+                held.insert(adapter, HeldAdapter { version, since_ms });
             }
         }
         let listed: Map<AdapterRef, u64> = report.loading.into_iter().collect();
@@ -81,7 +75,9 @@
         let old: Vec<(AdapterRef, PendingLoad)> = old.collect();
         for (adapter, loading) in old {
             match (held.get(&adapter), listed.contains_key(&adapter)) {
-                (Some(hold), _) => finish(loading.waiters, Ok(self.placed(hold.version))),
+                (Some(held_adapter), _) => {
+                    finish(loading.waiters, Ok(self.placed(held_adapter.version)))
+                }
                 (None, true) => self.add_pending(adapter, loading),
                 (None, false) => finish(loading.waiters, Err("the load command was lost".into())),
             }
@@ -116,10 +112,10 @@
                     .record(&adapter, &self.target.id, Presence::Absent, now);
             }
         }
-        for (adapter, hold) in held {
-            let standing = Presence::Held(hold.version);
+        for (adapter, held_adapter) in held {
+            let presence = Presence::Held(held_adapter.version);
             view.residency
-                .record(adapter, &self.target.id, standing, now);
+                .record(adapter, &self.target.id, presence, now);
         }
     }
 
--- a/crates/comfreyhall-node/src/engine_control/request.rs
+++ b/crates/comfreyhall-node/src/engine_control/request.rs
@@ -43,14 +43,14 @@
     node: &Arc<Node>,
     request: PlacementRequest,
 ) -> Result<Placed, PlacementError> {
-    let (done, mut wait) = oneshot::channel();
+    let (waiter, mut result) = oneshot::channel();
     let targets = request
         .candidates
         .iter()
         .map(|p| p.target.clone())
         .collect();
     let gone = GoneEngines::default();
-    let ticket = Arc::new(Ticket::new(done, targets, gone.clone()));
+    let ticket = Arc::new(Ticket::new(waiter, targets, gone.clone()));
     let now = node.now();
     let mut offered = false;
     for candidate in &request.candidates {
@@ -77,30 +77,30 @@
     // all of them have dropped it.
     let weak_ticket = Arc::downgrade(&ticket);
     drop(ticket);
-    let started = tokio::time::timeout(request.start_timeout, &mut wait).await;
+    let started = tokio::time::timeout(request.start_timeout, &mut result).await;
     let ticket = weak_ticket.upgrade();
-    let blocked = ticket.as_ref().map_or("", |t| t.wait_reason());
+    let wait_reason = ticket.as_ref().map_or("", |t| t.wait_reason());
     let unclaimed = ticket.and_then(|t| t.take());
     let ended = match (started, unclaimed) {
         (Ok(ended), _) => ended,
         // No engine has started a load, and none may any more.
         (Err(_), Some(_)) => {
-            let why = format!("no load started in time; the best engine waited for: {blocked}");
-            return Err(unplaced(&why, &gone));
+            let why = format!("no load started in time; the best engine waited for: {wait_reason}");
+            return Err(placement_error(&why, &gone));
         }
         // A load is in progress; giving up now would waste it.
         (Err(_), None) => {
-            let rest = request.total_timeout.saturating_sub(request.start_timeout);
-            let ended = tokio::time::timeout(rest, wait).await;
+            let remaining = request.total_timeout.saturating_sub(request.start_timeout);
+            let ended = tokio::time::timeout(remaining, result).await;
             ended.map_err(|_| {
                 PlacementError::from("the load takes longer than the request may wait")
             })?
         }
     };
-    ended.unwrap_or_else(|_| Err(unplaced("no engine could load the adapter", &gone)))
+    ended.unwrap_or_else(|_| Err(placement_error("no engine could load the adapter", &gone)))
 }
 
-fn unplaced(why: &str, gone: &GoneEngines) -> PlacementError {
+fn placement_error(why: &str, gone: &GoneEngines) -> PlacementError {
     PlacementError {
         why: why.to_string(),
         gone: gone.snapshot(),
--- a/crates/comfreyhall-node/src/fleet/exchange.rs
+++ b/crates/comfreyhall-node/src/fleet/exchange.rs
@@ -77,14 +77,14 @@
     fn due_small(&self, me: &str, now: u64) -> Vec<Name> {
         let limit = Fleet::alive_ms(self.peers.len());
         let due = self.peers.iter().filter(|(addr, peer)| {
-            let quiet = now.saturating_sub(peer.heard_at_ms);
+            let silence_ms = now.saturating_sub(peer.heard_at_ms);
             // One call per pair, made by the daemon with the lower address.
-            let turn = me < &***addr || quiet > SILENT_MS;
-            let unreachable = peer.heard_at_ms == 0 || quiet > limit;
+            let is_caller = me < &***addr || silence_ms > SILENT_MS;
+            let unreachable = peer.heard_at_ms == 0 || silence_ms > limit;
             let early = unreachable
                 && now.saturating_sub(peer.called_at_ms) < UNREACHABLE_PAUSE_MS
                 && peer.called_at_ms > 0;
-            turn && !early && !peer.calling
+            is_caller && !early && !peer.calling
         });
         due.map(|(addr, _)| addr.clone()).collect()
     }
--- a/crates/comfreyhall-node/src/fleet/gossip.rs
+++ b/crates/comfreyhall-node/src/fleet/gossip.rs
@@ -57,12 +57,12 @@
         let State {
             peers,
             runs,
-            placements: placed,
-            next_placement: next,
-            handovers: cessions,
+            placements,
+            next_placement,
+            handovers,
             ..
         } = &mut *state;
-        gossip.cessions = cessions.clone();
+        gossip.cessions = handovers.clone();
         let engines: Set<&str> = runs.iter().map(|(_, r)| &*r.target).collect();
         for work in &mut gossip.work {
             if engines.contains(work.target.as_str()) {
@@ -73,11 +73,11 @@
         }
         gossip.work.retain(|w| w.waiting > 0 || w.running > 0);
         if let Some(peer) = peers.get_mut(addr) {
-            let untold = placed
+            let untold = placements
                 .iter()
                 .filter(|(serial, _)| *serial >= peer.untold_from);
             gossip.placed = untold.map(|(_, p)| p.clone()).collect();
-            peer.untold_from = *next;
+            peer.untold_from = *next_placement;
             let demands = std::mem::take(&mut peer.demands);
             gossip.demands = demands
                 .into_iter()
@@ -204,10 +204,10 @@
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
-        let alive_for = self.liveness_ms();
+        let liveness_ms = self.liveness_ms();
         let mut view = node.view();
         for work in &gossip.work {
-            let told = Work {
+            let reported = Work {
                 prefill_tokens: work.prefill,
                 waiting_tokens: work.waiting,
                 requests: work.running,
@@ -215,18 +215,18 @@
             let sum = work_by_target
                 .entry(work.target.as_str().into())
                 .or_default();
-            *sum = sum.plus(told);
+            *sum = sum.plus(reported);
         }
         view.board
-            .set_peer_work(&peer, &work_by_target, now + alive_for);
+            .set_peer_work(&peer, &work_by_target, now + liveness_ms);
         for placed in &gossip.placed {
             if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
-                let standing = match placed.dropped {
+                let presence = match placed.dropped {
                     true => Presence::Absent,
                     false => Presence::Held(placed.version),
                 };
-                view.residency.record(&adapter, &target, standing, now);
+                view.residency.record(&adapter, &target, presence, now);
             }
         }
         for demand in &gossip.demands {
@@ -268,19 +268,19 @@
         if age != u64::MAX && covers {
             view.records.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.records.settings_sync;
-        let before = in_force.newer_version().map(|h| h.version);
-        in_force.peer_reported(&peer, settings_version, settings_as_of, now);
-        log_newer_settings(in_force, before, now);
-        let is_behind = in_force.newer_version().is_some();
+        let sync = &mut view.records.settings_sync;
+        let before = sync.newer_version().map(|h| h.version);
+        sync.peer_reported(&peer, settings_version, settings_as_of, now);
+        log_newer_settings(sync, before, now);
+        let is_behind = sync.newer_version().is_some();
         drop(view);
         if is_behind {
             self.wake_fetch();
         }
     }
 
-    /// Returns a time by this daemon's clock at or before which the store
-    /// confirmed the sender's settings.
+    /// Returns a lower bound, by this daemon's clock, on the time at which the
+    /// store confirmed the sender's settings.
     ///
     /// The age in a message applies to the time it was made, and a message may
     /// stay unread for seconds in a daemon that was frozen or busy. Counted
@@ -342,18 +342,15 @@
 
 /// Logs a newer version of the settings that was just reported, and what may
 /// delay it.
-fn log_newer_settings(in_force: &SettingsTracker, before: Option<u64>, now: u64) {
-    let Some(heard) = in_force
-        .newer_version()
-        .filter(|h| Some(h.version) != before)
-    else {
+fn log_newer_settings(sync: &SettingsTracker, before: Option<u64>, now: u64) {
+    let Some(heard) = sync.newer_version().filter(|h| Some(h.version) != before) else {
         return;
     };
-    let (row, age) = (in_force.newest(), in_force.age_ms(now));
-    let away = in_force
+    let (row, age) = (sync.newest(), sync.age_ms(now));
+    let away = sync
         .store_down_since()
         .map_or(0, |since| now.saturating_sub(since));
-    log::info!(target: "follow", newer = heard.version, peer:% = heard.reported_by, row, age, away, behind = in_force.lag_ms(now); "newer settings heard of");
+    log::info!(target: "follow", newer = heard.version, peer:% = heard.reported_by, row, age, away, behind = sync.lag_ms(now); "newer settings heard of");
 }
 
 impl State {
@@ -366,11 +363,11 @@
         }
         let holds = |p: &Peer, group: &Name| p.holdings.iter().any(|(g, _)| g == group);
         let peer = self.peers.get(addr);
-        let told = |group: &Name| {
+        let is_recipient = |group: &Name| {
             peer.is_some_and(|p| holds(p, group))
                 || !self.heard_recently(now).any(|(_, p)| holds(p, group))
         };
-        let concerned = all.filter(|(_, run)| told(&run.group));
+        let concerned = all.filter(|(_, run)| is_recipient(&run.group));
         concerned.map(|(id, run)| run.to_wire(id)).collect()
     }
 }
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -77,9 +77,10 @@
     /// Peers to call in a large fleet; `holding` tells whether this daemon
     /// holds a lease itself.
     pub(super) fn due_in_large(&mut self, holding: bool, now: u64) -> Vec<Name> {
-        let pace = report_period_ms(self.peers.len());
+        let period_ms = report_period_ms(self.peers.len());
         let limit = Fleet::alive_ms(self.peers.len());
-        let is_due = |p: &Peer| now.saturating_sub(p.called_at_ms) + GOSSIP_PERIOD_MS / 2 >= pace;
+        let is_due =
+            |p: &Peer| now.saturating_sub(p.called_at_ms) + GOSSIP_PERIOD_MS / 2 >= period_ms;
         let mut out: Vec<Name> = Vec::new();
         let mut known = holding;
         for (addr, peer) in &self.peers {
@@ -115,7 +116,7 @@
     }
 
     /// Number of adapters in use at each target by all daemons.
-    fn used(&self, now: u64) -> Map<Name, u32> {
+    fn adapters_in_use(&self, now: u64) -> Map<Name, u32> {
         let mut out: Map<Name, u32> = Map::default();
         for (target, _) in self.pinned(now) {
             *out.entry(target.clone()).or_default() += 1;
@@ -195,16 +196,16 @@
     fn summarize(&self, node: &Node, gossip: &News, now: u64) -> Summary {
         let mut me = self.me.clone();
         me.ready = node.ready();
-        let (roster, used) = {
+        let (roster, in_use) = {
             let state = self.state();
-            (state.roster(me, now), state.used(now))
+            (state.roster(me, now), state.adapters_in_use(now))
         };
         let view = node.view();
         let held = |domain: &str| gossip.holdings.iter().any(|h| h.group == domain);
         let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let totals = targets.filter_map(|t| {
             let work = view.board.reported_work(&t.id, now);
-            let adapters = used.get(&t.id).copied().unwrap_or(0);
+            let adapters = in_use.get(&t.id).copied().unwrap_or(0);
             let total = TargetTotal {
                 target: t.id.to_string(),
                 prefill: work.prefill_tokens,
@@ -264,8 +265,8 @@
         let Some(holder) = state.peers.get_mut(from.peer.as_str()) else {
             return;
         };
-        let used = gossip.totals.iter();
-        holder.reported_use = used
+        let in_use = gossip.totals.iter();
+        holder.reported_use = in_use
             .map(|t| (t.target.as_str().into(), t.adapters))
             .collect();
         if gossip.roster_version != holder.roster.version && !gossip.roster.is_empty() {
--- a/crates/comfreyhall-node/src/fleet/mod.rs
+++ b/crates/comfreyhall-node/src/fleet/mod.rs
@@ -183,7 +183,7 @@
             ready: false,
             millicores: (settings.cores * 1_000.0) as u32,
         };
-        let (sender, events) = mpsc::channel(progress::UPDATE_QUEUE_LEN);
+        let (updates_tx, updates_rx) = mpsc::channel(progress::UPDATE_QUEUE_LEN);
         let fleet = Self {
             me,
             state: Mutex::default(),
@@ -192,8 +192,8 @@
             next_run: AtomicU64::new(rand::rng().random::<u64>() >> 1),
             settings_sender: fetch::SettingsSender::default(),
             fetch_wanted: Notify::new(),
-            updates_tx: sender,
-            updates_rx: Mutex::new(Some(events)),
+            updates_tx,
+            updates_rx: Mutex::new(Some(updates_rx)),
         };
         for seed in &settings.seeds {
             fleet.add_peer(&seed.to_string(), true);
@@ -216,7 +216,7 @@
             return;
         }
         let mut state = self.state();
-        let told = state.next_placement;
+        let untold_from = state.next_placement;
         state.peers.entry(addr.into()).or_insert_with(|| Peer {
             client: FleetClient::new(link::channel(addr)),
             seed,
@@ -237,7 +237,7 @@
             cut_off: false,
             members: 0,
             demands: Map::default(),
-            untold_from: told,
+            untold_from,
             findings_acked: 0,
             findings_heard: SyncPosition::default(),
             clock_ms: 0,
@@ -363,10 +363,10 @@
     /// Number of adapters in use at targets, as reported by lease holders.
     pub(crate) fn reported_in_use(&self, now: u64) -> Map<Name, u32> {
         let state = self.state();
-        let told = state
+        let reported = state
             .heard_recently(now)
             .flat_map(|(_, p)| p.reported_use.iter());
-        told.map(|(t, n)| (t.clone(), *n)).collect()
+        reported.map(|(t, n)| (t.clone(), *n)).collect()
     }
 
     /// Records a served request for `adapter`, to be reported to lease holders.
@@ -428,11 +428,11 @@
             out.push(self.me.front.as_str().into());
         }
         let state = self.state();
-        let about = state
+        let daemons = state
             .alive_peers(now)
             .filter_map(|(_, p)| p.daemon.as_ref());
-        let about = about.filter(|a| a.ready);
-        out.extend(about.map(|a| Name::from(a.front.as_str())));
+        let daemons = daemons.filter(|a| a.ready);
+        out.extend(daemons.map(|a| Name::from(a.front.as_str())));
         if out.len() > MAX_ADDRESSES {
             out = out
                 .into_iter()
--- a/crates/comfreyhall-node/src/fleet/progress.rs
+++ b/crates/comfreyhall-node/src/fleet/progress.rs
@@ -60,17 +60,17 @@
         while let Some(first) = events.recv().await {
             tokio::time::sleep(BATCH_DELAY).await;
             let more = std::iter::from_fn(|| events.try_recv().ok());
-            let all: Vec<RunUpdate> = std::iter::once(first).chain(more).collect();
-            report_updates(&node, all);
+            let updates: Vec<RunUpdate> = std::iter::once(first).chain(more).collect();
+            report_updates(&node, updates);
         }
     });
 }
 
 /// Reports to each holder the updates of its engines.
-fn report_updates(node: &Arc<Node>, all: Vec<RunUpdate>) {
+fn report_updates(node: &Arc<Node>, updates: Vec<RunUpdate>) {
     let now = node.now();
     let mut calls: Map<Name, Vec<RunEvent>> = Map::default();
-    for event in all {
+    for event in updates {
         // The holder itself has already seen it.
         if node.token(&event.group).is_some() {
             continue;
--- a/crates/comfreyhall-node/src/metrics.rs
+++ b/crates/comfreyhall-node/src/metrics.rs
@@ -132,8 +132,8 @@
         self.refusals.add(1, &[KeyValue::new("why", why)]);
     }
 
-    pub(crate) fn adapter_load(&self, recent: bool) {
-        let from = if recent { "at_hand" } else { "store" };
+    pub(crate) fn adapter_load(&self, cached: bool) {
+        let from = if cached { "at_hand" } else { "store" };
         self.adapter_loads.add(1, &[KeyValue::new("from", from)]);
     }
 
--- a/crates/comfreyhall-node/src/records.rs
+++ b/crates/comfreyhall-node/src/records.rs
@@ -71,12 +71,12 @@
 }
 
 impl Provenance {
-    /// The store's answer to a call that began at `asked`.
-    pub(crate) fn store(asked: u64) -> Self {
-        let way = Source::Store;
+    /// The store's answer to a call that began at `requested_at_ms`.
+    pub(crate) fn store(requested_at_ms: u64) -> Self {
+        let source = Source::Store;
         Self {
-            source: way,
-            requested_at_ms: asked,
+            source,
+            requested_at_ms,
         }
     }
 }
@@ -95,12 +95,12 @@
         }
         if topic == Topic::Settings {
             let Provenance {
-                source: way,
-                requested_at_ms: asked,
+                source,
+                requested_at_ms,
             } = origin;
             view.records
                 .settings_sync
-                .apply(record.version, way, *asked, now);
+                .apply(record.version, source, *requested_at_ms, now);
         }
         let relevant = apply_row(node, &mut view, topic, &record, now);
         let stored = view.records.topic_rows(topic);
