--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -77,7 +77,7 @@
             held.get(group).cloned()
         };
         let current = lease.as_ref().and_then(|l| l.token(clock::instant()));
-        let lapsed = lease.and_then(|l| l.expired_token().filter(|_| fencing));
+        let expired = lease.and_then(|l| l.expired_token().filter(|_| fencing));
         let handed_over = {
             let handed_over = self
                 .handed_over
@@ -85,7 +85,7 @@
                 .expect("no holder of this lock panics");
             handed_over.get(group).copied().filter(|_| fencing)
         };
-        let own = current.or(lapsed).map(|t| t * TOKEN_STRIDE);
+        let own = current.or(expired).map(|t| t * TOKEN_STRIDE);
         let token = own.max(handed_over)?;
         let highest_seen = self
             .highest_seen
--- a/crates/comfreyhall-node/src/quotas/mod.rs
+++ b/crates/comfreyhall-node/src/quotas/mod.rs
@@ -4,8 +4,8 @@
 //! A request reserves credit of its workspace before it waits for anything, so
 //! that one over the quota is rejected at once and costs the others nothing.
 //! Each of its sends reserves credit of a limited target right before it
-//! ([`Credit`]). The decisions are made by a meter (`comfreyhall-workspace`),
-//! one for workspaces and one for targets; this module tells the meters which
+//! ([`Credit`]). The decisions are made by a rate limiter (`comfreyhall-workspace`),
+//! one for workspaces and one for targets; this module tells the limiters which
 //! daemons there are, and carries their calls to the quota coordinators.
 
 mod settle;
@@ -67,12 +67,12 @@
 
 #[derive(Default)]
 struct State {
-    meter: Option<Box<dyn RateLimiter>>,
-    /// Version of the configuration that the meter has, and the groups it is
+    limiter: Option<Box<dyn RateLimiter>>,
+    /// Version of the configuration that the limiter has, and the groups it is
     /// distributed over.
     version: u64,
     groups: Vec<Name>,
-    /// Limits that the meter of targets has.
+    /// Limits that the limiter of targets has.
     limits: Map<Name, PlacedQuota>,
 }
 
@@ -108,12 +108,12 @@
     pub(crate) fn in_use(&self) -> bool {
         let state = self.state();
         match self.kind {
-            QuotaKind::Workspaces => state.meter.is_some(),
+            QuotaKind::Workspaces => state.limiter.is_some(),
             QuotaKind::Targets => !state.limits.is_empty(),
         }
     }
 
-    /// Ensures that the meter has the quotas of `config`.
+    /// Ensures that the limiter has the quotas of `config`.
     pub(crate) fn sync_config(&self, node: &Node, config: &Config) {
         if self.state().version != config.version {
             refresh(node, self.kind);
@@ -123,15 +123,15 @@
     /// Time in ms until a unit of `name` may be available.
     pub(crate) fn unavailable_ms(&self, name: &str, now: u64) -> u64 {
         let state = self.state();
-        let meter = state.meter.as_ref();
-        meter.map_or(0, |m| m.retry_after_ms(name, 1, now))
+        let limiter = state.limiter.as_ref();
+        limiter.map_or(0, |m| m.retry_after_ms(name, 1, now))
     }
 
     /// Whether `name` has unused units, as far as is known here.
     pub(crate) fn has_spare(&self, name: &str, now: u64) -> bool {
         let state = self.state();
         state
-            .meter
+            .limiter
             .as_ref()
             .is_some_and(|m| m.has_surplus(name, now))
     }
@@ -139,15 +139,15 @@
     /// Takes a unit of `name` if one is available here and now.
     pub(crate) fn take_local(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
-        let outcome = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
+        let outcome = state.limiter.as_mut().map(|m| m.try_reserve(name, 1, now));
         outcome == Some(ReserveOutcome::Granted)
     }
 
     /// The data behind a rejection by the quota of `name`.
     pub(crate) fn basis(&self, name: &str, now: u64) -> QuotaSnapshot {
         let state = self.state();
-        let meter = state.meter.as_ref();
-        meter.map_or_else(QuotaSnapshot::default, |m| m.snapshot(name, now))
+        let limiter = state.limiter.as_ref();
+        limiter.map_or_else(QuotaSnapshot::default, |m| m.snapshot(name, now))
     }
 }
 
@@ -160,7 +160,7 @@
     groups
 }
 
-/// Updates the meter if other quotas are active now.
+/// Updates the limiter if other quotas are active now.
 pub(crate) fn refresh(node: &Node, kind: QuotaKind) {
     match kind {
         QuotaKind::Workspaces => refresh_workspaces(node),
@@ -179,11 +179,11 @@
     if state.limits == limits && state.groups == groups {
         return;
     }
-    let meter = state.meter.get_or_insert_with(|| {
+    let limiter = state.limiter.get_or_insert_with(|| {
         let me = own_home(node);
         Box::new(GrantingLimiter::new(me))
     });
-    meter.set_quotas(limits.clone(), &groups, now);
+    limiter.set_quotas(limits.clone(), &groups, now);
     state.limits = limits;
     state.groups = groups;
     update_members(node, QuotaKind::Targets, &mut state);
@@ -200,21 +200,21 @@
         return;
     }
     let Some(workspaces) = &config.workspaces else {
-        state.meter = None;
+        state.limiter = None;
         return;
     };
-    let meter = state.meter.get_or_insert_with(|| meter(node));
-    meter.configure(workspaces, &groups, now);
+    let limiter = state.limiter.get_or_insert_with(|| limiter(node));
+    limiter.configure(workspaces, &groups, now);
     state.version = config.version;
     state.groups = groups;
     update_members(node, QuotaKind::Workspaces, &mut state);
 }
 
-/// Tells the meter which daemons there are.
+/// Tells the limiter which daemons there are.
 fn update_members(node: &Node, kind: QuotaKind, state: &mut State) {
     let current = settle::coordinators(node, kind, &state.groups);
-    if let Some(meter) = &mut state.meter {
-        meter.update_fleet(&current.by_group, current.fleet, node.now());
+    if let Some(limiter) = &mut state.limiter {
+        limiter.update_fleet(&current.by_group, current.fleet, node.now());
     }
 }
 
@@ -226,7 +226,7 @@
     }
 }
 
-fn meter(node: &Node) -> Box<dyn RateLimiter> {
+fn limiter(node: &Node) -> Box<dyn RateLimiter> {
     let settings = node.settings();
     let tolerance = Tolerance {
         window_ms: (settings.caps.window_s * 1_000.0) as u64,
@@ -249,14 +249,14 @@
 ) -> Result<Credit, QuotaError> {
     let quotas = node.quotas_of(kind);
     let began = node.now();
-    if let Some(meter) = &mut quotas.state().meter {
-        meter.record_demand(name, size, began);
+    if let Some(limiter) = &mut quotas.state().limiter {
+        limiter.record_demand(name, size, began);
     }
     let until = began + kind.answer_ms();
     loop {
         let now = node.now();
-        let outcome = match &mut quotas.state().meter {
-            Some(meter) => meter.try_reserve(name, size, now),
+        let outcome = match &mut quotas.state().limiter {
+            Some(limiter) => limiter.try_reserve(name, size, now),
             None => ReserveOutcome::UsageUnknown {
                 retry_ms: kind.answer_ms(),
             },
@@ -298,10 +298,10 @@
         let notified = quotas.answered.notified();
         tokio::pin!(notified);
         notified.as_mut().enable();
-        let done = match &quotas.state().meter {
-            Some(meter) => {
-                let group = meter.quota_group(name);
-                group.is_none_or(|g| meter.last_answered(&g) >= call)
+        let done = match &quotas.state().limiter {
+            Some(limiter) => {
+                let group = limiter.quota_group(name);
+                group.is_none_or(|g| limiter.last_answered(&g) >= call)
             }
             None => true,
         };
@@ -345,7 +345,7 @@
     /// more.
     pub(crate) fn mark_sent(&mut self) {
         if !std::mem::replace(&mut self.sent, true) {
-            self.with(|meter, name, size| meter.mark_sent(name, size));
+            self.with(|limiter, name, size| limiter.mark_sent(name, size));
         }
     }
 
@@ -353,14 +353,14 @@
     /// be sent again.
     pub(crate) fn refund(mut self) {
         if std::mem::replace(&mut self.sent, false) {
-            self.with(|meter, name, size| meter.refund(name, size));
+            self.with(|limiter, name, size| limiter.refund(name, size));
             self.size = 0;
         }
     }
 
     fn with(&self, act: impl FnOnce(&mut dyn RateLimiter, &str, u64)) {
-        if let Some(meter) = &mut self.node.quotas_of(self.kind).state().meter {
-            act(meter.as_mut(), &self.name, self.size);
+        if let Some(limiter) = &mut self.node.quotas_of(self.kind).state().limiter {
+            act(limiter.as_mut(), &self.name, self.size);
         }
     }
 }
@@ -368,7 +368,7 @@
 impl Drop for Credit {
     fn drop(&mut self) {
         if !self.sent && self.size > 0 {
-            self.with(|meter, name, size| meter.release_unsent(name, size));
+            self.with(|limiter, name, size| limiter.release_unsent(name, size));
         }
     }
 }
--- a/crates/comfreyhall-node/src/quotas/settle.rs
+++ b/crates/comfreyhall-node/src/quotas/settle.rs
@@ -40,7 +40,7 @@
     });
 }
 
-/// Coordinators and fleet size, as passed to the meter.
+/// Coordinators and fleet size, as passed to the limiter.
 pub(super) struct Coordinators {
     pub(super) by_group: Map<Name, PeerProcess>,
     pub(super) fleet: FleetView,
@@ -50,8 +50,8 @@
     let groups = quotas.state().groups.clone();
     let current = coordinators(node, quotas.kind, &groups);
     let now = node.now();
-    if let Some(meter) = &mut quotas.state().meter {
-        meter.update_fleet(&current.by_group, current.fleet, now);
+    if let Some(limiter) = &mut quotas.state().limiter {
+        limiter.update_fleet(&current.by_group, current.fleet, now);
     }
 }
 
@@ -103,12 +103,12 @@
     let now = node.now();
     let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
         let mut state = node.quotas_of(kind).state();
-        let Some(meter) = &mut state.meter else {
+        let Some(limiter) = &mut state.limiter else {
             return;
         };
-        let due = meter.due_settlements(now).into_iter();
+        let due = limiter.due_settlements(now).into_iter();
         let calls = due.map(|(group, coordinator)| {
-            let call = meter.settle_request(&group, &coordinator, now);
+            let call = limiter.settle_request(&group, &coordinator, now);
             (group, coordinator, call)
         });
         calls.collect()
@@ -131,10 +131,10 @@
     };
     let call = {
         let mut state = node.quotas_of(kind).state();
-        let Some(meter) = &mut state.meter else {
+        let Some(limiter) = &mut state.limiter else {
             return;
         };
-        meter.settle_request(&group, &coordinator, now)
+        limiter.settle_request(&group, &coordinator, now)
     };
     tokio::spawn(settle(node.clone(), kind, group, coordinator, call));
 }
@@ -166,10 +166,10 @@
     };
     let now = node.now();
     let quotas = node.quotas_of(kind);
-    if let Some(meter) = &mut quotas.state().meter {
-        meter.handle_reply(&group, &coordinator, reply.as_ref(), now);
+    if let Some(limiter) = &mut quotas.state().limiter {
+        limiter.handle_reply(&group, &coordinator, reply.as_ref(), now);
         if ended {
-            meter.process_ended(&coordinator);
+            limiter.process_ended(&coordinator);
         }
     }
     quotas.answered.notify_waiters();
--- a/crates/comfreyhall-node/src/quotas/wire.rs
+++ b/crates/comfreyhall-node/src/quotas/wire.rs
@@ -126,8 +126,8 @@
     let call = from_call(message);
     let now = node.now();
     let known_since = node.fleet.known_since_ms(&call.from).unwrap_or(now);
-    let answered = match &mut node.quotas_of(kind).state().meter {
-        Some(meter) => meter.handle_settle(&call, known_since, now),
+    let answered = match &mut node.quotas_of(kind).state().limiter {
+        Some(limiter) => limiter.handle_settle(&call, known_since, now),
         None => SettleReply {
             boot: node.fleet.boot(),
             clock_ms: now,
