--- a/crates/comfreyhall-node/src/quotas/mod.rs
+++ b/crates/comfreyhall-node/src/quotas/mod.rs
@@ -4,9 +4,10 @@
 //! A request reserves credit of its workspace before it waits for anything, so
 //! that one over the quota is rejected at once and costs the others nothing.
 //! Each of its sends reserves credit of a limited target right before it
-//! ([`Credit`]). The decisions are made by a rate limiter (`comfreyhall-workspace`),
-//! one for workspaces and one for targets; this module tells the limiters which
-//! daemons there are, and carries their calls to the quota coordinators.
+//! ([`Credit`]). The decisions are made by a rate limiter
+//! (`comfreyhall-workspace`), one for workspaces and one for targets; this
+//! module tells the limiters which daemons there are, and carries their calls
+//! to the quota coordinators.
 
 mod settle;
 mod wire;
