--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -5,11 +5,11 @@
 use comfreyhall_domain::{Engine, Name};
 use comfreyhall_routing::admission;
 
-use super::{Bind, Bound, Unbound};
+use super::{BindError, BindParams, Binding};
 use crate::{
-    choose::{self, Plan, Wish},
+    choose::{self, Criteria, Plan},
     fleet::key_of,
-    flight::Stall,
+    flight::PendingLoad,
     keeper::{self, Placed},
     leases,
     node::Node,
@@ -18,29 +18,29 @@
 
 /// How long a request waits for a place in one group of engines before it
 /// looks again, in ms: another group may be freer by then.
-const PLACE_MS: u64 = 250;
+const SLOT_WAIT_MS: u64 = 250;
 
 /// The engine for a run of this daemon or of another.
-pub(super) async fn bind(node: &Arc<Node>, ask: Bind) -> Result<Bound, Unbound> {
-    let engine = engine_of(node, &ask.service);
-    let engine = engine.ok_or_else(|| Unbound::unplaced("the service has no engines"))?;
-    note(node, &ask);
-    let plan = choose(node, &ask, &engine);
-    let plan = plan.ok_or_else(|| Unbound::unplaced("no engine of the group can take it"))?;
-    let first = ask.tried.is_empty() && node.policies().admission;
-    if first && admission::refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
-        return Err(Unbound::TooLong(plan.wait_ms as u64));
+pub(super) async fn bind(node: &Arc<Node>, params: BindParams) -> Result<Binding, BindError> {
+    let engine = engine_of(node, &params.service);
+    let engine = engine.ok_or_else(|| BindError::no_engine("the service has no engines"))?;
+    note(node, &params);
+    let plan = choose(node, &params, &engine);
+    let plan = plan.ok_or_else(|| BindError::no_engine("no engine of the group can take it"))?;
+    let first = params.tried.is_empty() && node.policies().admission;
+    if first && admission::refuse(plan.wait_ms, params.left_ms, params.aim_ms, params.priority) {
+        return Err(BindError::TooLong(plan.wait_ms as u64));
     }
-    if !plan.loads {
+    if !plan.needs_load {
         let target = &plan.target.id;
-        return bound(node, &ask, target, plan.version, plan.wait_ms);
+        return bound(node, &params, target, plan.min_version, plan.wait_ms);
     }
-    if !ask.may_wait {
-        return Err(Unbound::MustWait);
+    if !params.may_wait {
+        return Err(BindError::LoadRequired);
     }
-    let placed = place(node, &ask, &plan).await?;
+    let placed = place(node, &params, &plan).await?;
     // The load is done; the prompt is still to be read.
-    bound(node, &ask, &placed.target, placed.version, 0.0)
+    bound(node, &params, &placed.target, placed.version, 0.0)
 }
 
 fn engine_of(node: &Node, service: &Name) -> Option<Engine> {
@@ -49,8 +49,13 @@
 }
 
 /// Counts the request, and notes whether its adapter is hot.
-fn note(node: &Node, ask: &Bind) {
-    let Some(adapter) = ask.need.adapter.as_ref().filter(|a| a.adapter.is_some()) else {
+fn note(node: &Node, params: &BindParams) {
+    let Some(adapter) = params
+        .requirements
+        .adapter
+        .as_ref()
+        .filter(|a| a.adapter.is_some())
+    else {
         return;
     };
     let now = node.now();
@@ -61,41 +66,42 @@
     }
 }
 
-fn choose(node: &Node, ask: &Bind, engine: &Engine) -> Option<Plan> {
-    let wish = Wish {
-        need: &ask.need,
-        aim_ms: ask.aim_ms,
-        service: &ask.service,
-        group: Some(&ask.group),
+fn choose(node: &Node, params: &BindParams, engine: &Engine) -> Option<Plan> {
+    let criteria = Criteria {
+        requirements: &params.requirements,
+        objective_ms: params.aim_ms,
+        service: &params.service,
+        group: Some(&params.group),
         engine: Some(engine),
-        tried: &ask.tried,
-        closed: &ask.closed,
-        only_tried: ask.only_tried,
-        draw: ask.run,
+        tried: &params.tried,
+        unavailable: &params.closed,
+        only_tried: params.only_tried,
+        seed: params.run,
     };
-    choose::choose(node, &wish)
+    choose::choose(node, &criteria)
 }
 
 /// The answer, with the prompt noted as read there: whoever shares a part of
 /// it and comes next is queued behind it.
 fn bound(
     node: &Node,
-    ask: &Bind,
+    params: &BindParams,
     target: &Name,
     version: u64,
     wait_ms: f64,
-) -> Result<Bound, Unbound> {
+) -> Result<Binding, BindError> {
     let granted = outbound::grant(node, target);
-    let granted = granted.ok_or_else(|| Unbound::unplaced("the engine takes nothing now"))?;
+    let granted = granted.ok_or_else(|| BindError::no_engine("the engine takes nothing now"))?;
     let now = node.now();
     let mut view = node.view();
-    let unread = choose::unread(&view, &ask.need, target);
-    if let Some(adapter) = &ask.need.adapter {
-        view.prefixes.note(adapter, &ask.need.parts, target, now);
+    let unread = choose::unread(&view, &params.requirements, target);
+    if let Some(adapter) = &params.requirements.adapter {
+        view.prefixes
+            .note(adapter, &params.requirements.parts, target, now);
     }
-    let hot = ask.need.adapter.as_ref();
+    let hot = params.requirements.adapter.as_ref();
     let hot = hot.is_some_and(|a| view.is_hot(a, now));
-    Ok(Bound {
+    Ok(Binding {
         target: target.clone(),
         version,
         unread,
@@ -106,27 +112,27 @@
 }
 
 /// Has the adapter placed on one of the plan's engines.
-async fn place(node: &Arc<Node>, ask: &Bind, plan: &Plan) -> Result<Placed, Unbound> {
-    let Some(adapter) = ask.need.adapter.clone() else {
-        return Err(Unbound::unplaced("no engine holds the model"));
+async fn place(node: &Arc<Node>, params: &BindParams, plan: &Plan) -> Result<Placed, BindError> {
+    let Some(adapter) = params.requirements.adapter.clone() else {
+        return Err(BindError::no_engine("no engine holds the model"));
     };
-    let limit = ask.limit_ms();
+    let limit = params.limit_ms();
     // After the load the prompt is still to be read.
     let after = plan.wait_ms as u64;
     let wish = keeper::Wish {
         adapter: adapter.clone(),
-        picks: plan.picks.clone(),
-        version: plan.version,
-        priority: u32::from(ask.priority),
-        aim_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
-        begin: Duration::from_millis(limit.min(PLACE_MS)),
+        picks: plan.candidates.clone(),
+        version: plan.min_version,
+        priority: u32::from(params.priority),
+        aim_ms: params.aim_ms.saturating_sub(params.spent_ms + after),
+        begin: Duration::from_millis(limit.min(SLOT_WAIT_MS)),
         limit: Duration::from_millis(limit),
     };
     // Others count on the place that this request is about to hold.
-    let waits = Stall::begin(node, &plan.target.id, &adapter, plan.tokens);
+    let waits = PendingLoad::begin(node, &plan.target.id, &adapter, plan.unread_tokens);
     let placed = keeper::ensure(node, wish).await;
     drop(waits);
-    placed.map_err(|e| Unbound::Unplaced {
+    placed.map_err(|e| BindError::NoEngine {
         why: e.why,
         gone: e.gone,
     })
--- a/crates/comfreyhall-node/src/bind/mod.rs
+++ b/crates/comfreyhall-node/src/bind/mod.rs
@@ -20,24 +20,24 @@
 use comfreyhall_domain::Name;
 
 pub(crate) use self::wire::answer;
-use crate::{choose::Need, node::Node};
+use crate::{choose::Requirements, node::Node};
 
 /// Longest a holder's answer is waited for if no load has to come first, in
 /// ms: it takes some ms, and some tens on a busy core. A request that has
 /// waited this long still meets an objective of a second.
-const ANSWER_MS: u64 = 120;
+const ANSWER_TIMEOUT_MS: u64 = 120;
 
 /// Time for the answer to come back after the longest wait for a load, in ms.
-const RETURN_MS: u64 = 30;
+const RETURN_ALLOWANCE_MS: u64 = 30;
 
 /// One request that wants an engine of a group.
 #[derive(Debug, Clone)]
-pub(crate) struct Bind {
+pub(crate) struct BindParams {
     /// Number of the run.
     pub(crate) run: u64,
     pub(crate) group: Name,
     pub(crate) service: Name,
-    pub(crate) need: Arc<Need>,
+    pub(crate) requirements: Arc<Requirements>,
     /// Least version that will do; 0 for any.
     pub(crate) version: u64,
     /// Rank of its route; 0 is first.
@@ -58,7 +58,7 @@
     pub(crate) may_wait: bool,
 }
 
-impl Bind {
+impl BindParams {
     /// Longest it waits for its adapter, in ms.
     fn limit_ms(&self) -> u64 {
         self.left_ms.min(self.aim_ms) + 1
@@ -67,7 +67,7 @@
 
 /// The engine of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Bound {
+pub(crate) struct Binding {
     pub(crate) target: Name,
     /// The adapter's version there.
     pub(crate) version: u64,
@@ -84,19 +84,19 @@
 
 /// Why a run has no engine.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Unbound {
+pub(crate) enum BindError {
     /// The holder does not answer, or is none any more; nothing is known.
     #[error("the holder does not answer")]
-    Unanswered,
+    NoAnswer,
     /// A load has to come first, and the request did not want to wait for one.
     #[error("a load has to come first")]
-    MustWait,
+    LoadRequired,
     /// Its wait would be too long.
     #[error("the wait would be {0} ms")]
     TooLong(u64),
     /// No engine of the group can take it now.
     #[error("{why}")]
-    Unplaced {
+    NoEngine {
         /// Why none can.
         why: String,
         /// Engines that take no orders: they are gone, or another boot.
@@ -104,9 +104,9 @@
     },
 }
 
-impl Unbound {
-    fn unplaced(why: &str) -> Self {
-        Unbound::Unplaced {
+impl BindError {
+    fn no_engine(why: &str) -> Self {
+        BindError::NoEngine {
             why: why.to_string(),
             gone: Vec::new(),
         }
@@ -114,25 +114,25 @@
 }
 
 /// The engine for a run, chosen by the holder of its group's lease.
-pub(crate) async fn bind(node: &Arc<Node>, ask: Bind) -> Result<Bound, Unbound> {
-    if node.token(&ask.group).is_some() {
-        return here::bind(node, ask).await;
+pub(crate) async fn bind(node: &Arc<Node>, params: BindParams) -> Result<Binding, BindError> {
+    if node.token(&params.group).is_some() {
+        return here::bind(node, params).await;
     }
     let now = node.now();
-    let holder = node.fleet.holder(&ask.group, now);
-    let holder = holder.ok_or(Unbound::Unanswered)?;
-    let mut client = node.fleet.client(&holder).ok_or(Unbound::Unanswered)?;
-    let limit = match ask.may_wait {
-        true => ask.limit_ms() + RETURN_MS,
-        false => ANSWER_MS,
+    let holder = node.fleet.holder(&params.group, now);
+    let holder = holder.ok_or(BindError::NoAnswer)?;
+    let mut client = node.fleet.client(&holder).ok_or(BindError::NoAnswer)?;
+    let limit = match params.may_wait {
+        true => params.limit_ms() + RETURN_ALLOWANCE_MS,
+        false => ANSWER_TIMEOUT_MS,
     };
-    let call = client.bind(wire::ask(node.fleet.peer(), &ask));
+    let call = client.bind(wire::ask(node.fleet.peer(), &params));
     let why = match tokio::time::timeout(Duration::from_millis(limit), call).await {
         Ok(Ok(reply)) => return wire::reply(reply.into_inner()),
         Ok(Err(status)) => status.message().to_string(),
         Err(_) => "no answer in time".to_string(),
     };
-    log::info!(target: "bind", peer:% = holder, group:% = ask.group, run = ask.run, waits = ask.may_wait, why; "holder not heard");
+    log::info!(target: "bind", peer:% = holder, group:% = params.group, run = params.run, waits = params.may_wait, why; "holder not heard");
     node.fleet.mute(&holder, node.now());
-    Err(Unbound::Unanswered)
+    Err(BindError::NoAnswer)
 }
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -5,84 +5,88 @@
 use comfreyhall_domain::{AdapterRef, Name, Part, Tokens};
 use comfreyhall_protocol::{BindReply, BindRequest, PromptPart};
 
-use super::{Bind, Bound, Unbound, here};
-use crate::{choose::Need, fleet::Run, node::Node};
+use super::{BindError, BindParams, Binding, here};
+use crate::{choose::Requirements, fleet::Run, node::Node};
 
 /// The message of the daemon at `from`.
-pub(super) fn ask(from: &str, ask: &Bind) -> BindRequest {
-    let need = &ask.need;
-    let adapter = need.adapter.as_ref();
+pub(super) fn ask(from: &str, params: &BindParams) -> BindRequest {
+    let requirements = &params.requirements;
+    let adapter = requirements.adapter.as_ref();
     let name = adapter.and_then(|a| a.adapter.as_deref());
     let names = |all: &[Name]| all.iter().map(|n| n.to_string()).collect();
-    let parts = need.parts.iter().map(|p| PromptPart {
+    let parts = requirements.parts.iter().map(|p| PromptPart {
         id: p.id,
         tokens: p.tokens,
     });
     BindRequest {
         from: from.to_string(),
-        run: ask.run,
-        group: ask.group.to_string(),
-        service: ask.service.to_string(),
+        run: params.run,
+        group: params.group.to_string(),
+        service: params.service.to_string(),
         model: adapter.map_or("", |a| &*a.model).to_string(),
         adapter: name.unwrap_or("").to_string(),
-        version: ask.version,
-        prompt_tokens: need.tokens.map_or(0, |t| t.prompt),
-        output_tokens: need.tokens.map_or(0, |t| t.output),
+        version: params.version,
+        prompt_tokens: requirements.tokens.map_or(0, |t| t.prompt),
+        output_tokens: requirements.tokens.map_or(0, |t| t.output),
         parts: parts.collect(),
-        priority: u32::from(ask.priority),
-        aim_ms: ask.aim_ms,
-        spent_ms: ask.spent_ms,
-        left_ms: ask.left_ms,
-        tried: names(&ask.tried),
-        closed: names(&ask.closed),
-        only_tried: ask.only_tried,
-        may_wait: ask.may_wait,
+        priority: u32::from(params.priority),
+        aim_ms: params.aim_ms,
+        spent_ms: params.spent_ms,
+        left_ms: params.left_ms,
+        tried: names(&params.tried),
+        closed: names(&params.closed),
+        only_tried: params.only_tried,
+        may_wait: params.may_wait,
     }
 }
 
-fn from_wire(ask: &BindRequest) -> Bind {
+fn from_wire(message: &BindRequest) -> BindParams {
     let names = |all: &[String]| all.iter().map(|n| Name::from(n.as_str())).collect();
-    let parts = ask.parts.iter().map(|p| Part {
+    let parts = message.parts.iter().map(|p| Part {
         id: p.id,
         tokens: p.tokens,
     });
-    let need = Need {
+    let requirements = Requirements {
         adapter: Some(AdapterRef {
-            model: ask.model.as_str().into(),
-            adapter: (!ask.adapter.is_empty()).then(|| ask.adapter.as_str().into()),
+            model: message.model.as_str().into(),
+            adapter: (!message.adapter.is_empty()).then(|| message.adapter.as_str().into()),
         }),
         tokens: Some(Tokens {
-            prompt: ask.prompt_tokens,
-            output: ask.output_tokens,
+            prompt: message.prompt_tokens,
+            output: message.output_tokens,
         }),
         parts: parts.collect(),
     };
-    Bind {
-        run: ask.run,
-        group: ask.group.as_str().into(),
-        service: ask.service.as_str().into(),
-        need: Arc::new(need),
-        version: ask.version,
-        priority: u8::try_from(ask.priority).unwrap_or(u8::MAX),
-        aim_ms: ask.aim_ms,
-        spent_ms: ask.spent_ms,
-        left_ms: ask.left_ms,
-        tried: names(&ask.tried),
-        closed: names(&ask.closed),
-        only_tried: ask.only_tried,
-        may_wait: ask.may_wait,
+    BindParams {
+        run: message.run,
+        group: message.group.as_str().into(),
+        service: message.service.as_str().into(),
+        requirements: Arc::new(requirements),
+        version: message.version,
+        priority: u8::try_from(message.priority).unwrap_or(u8::MAX),
+        aim_ms: message.aim_ms,
+        spent_ms: message.spent_ms,
+        left_ms: message.left_ms,
+        tried: names(&message.tried),
+        closed: names(&message.closed),
+        only_tried: message.only_tried,
+        may_wait: message.may_wait,
     }
 }
 
 /// Answers another daemon that wants an engine of a group held here.
 pub(crate) async fn answer(node: &Arc<Node>, message: BindRequest) -> BindReply {
-    let ask = from_wire(&message);
-    let adapter = ask.need.adapter.clone().filter(|a| a.adapter.is_some());
-    let (run, group) = (ask.run, ask.group.clone());
+    let params = from_wire(&message);
+    let adapter = params
+        .requirements
+        .adapter
+        .clone()
+        .filter(|a| a.adapter.is_some());
+    let (run, group) = (params.run, params.group.clone());
     if node.token(&group).is_none() {
-        return refusal(Unbound::unplaced("this daemon does not hold the lease"));
+        return refusal(BindError::no_engine("this daemon does not hold the lease"));
     }
-    match here::bind(node, ask).await {
+    match here::bind(node, params).await {
         Ok(bound) => {
             let now = node.now();
             let ahead = node.view().board.work(&bound.target, now).prefill + bound.unread;
@@ -109,30 +113,30 @@
     }
 }
 
-fn refusal(why: Unbound) -> BindReply {
+fn refusal(why: BindError) -> BindReply {
     let error = why.to_string();
     let mut reply = BindReply {
         error,
         ..BindReply::default()
     };
     match why {
-        Unbound::MustWait => reply.must_wait = true,
-        Unbound::TooLong(ms) => {
+        BindError::LoadRequired => reply.must_wait = true,
+        BindError::TooLong(ms) => {
             reply.too_long = true;
             reply.wait_ms = ms;
         }
-        Unbound::Unplaced { gone, .. } => {
+        BindError::NoEngine { gone, .. } => {
             reply.gone = gone.iter().map(|t| t.to_string()).collect();
         }
-        Unbound::Unanswered => {}
+        BindError::NoAnswer => {}
     }
     reply
 }
 
 /// What a holder's answer says.
-pub(super) fn reply(reply: BindReply) -> Result<Bound, Unbound> {
+pub(super) fn reply(reply: BindReply) -> Result<Binding, BindError> {
     if !reply.target.is_empty() {
-        return Ok(Bound {
+        return Ok(Binding {
             target: reply.target.into(),
             version: reply.version,
             unread: reply.unread,
@@ -142,12 +146,12 @@
         });
     }
     if reply.must_wait {
-        return Err(Unbound::MustWait);
+        return Err(BindError::LoadRequired);
     }
     if reply.too_long {
-        return Err(Unbound::TooLong(reply.wait_ms));
+        return Err(BindError::TooLong(reply.wait_ms));
     }
-    Err(Unbound::Unplaced {
+    Err(BindError::NoEngine {
         why: reply.error,
         gone: reply.gone.into_iter().map(Name::from).collect(),
     })
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    flight::Seat,
+    flight::RunHandle,
     keeper::Pick,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
@@ -18,44 +18,44 @@
 
 /// How long after a version of an adapter was named the one before still
 /// serves, as part of the bound: replacements are on their way meanwhile.
-const GRACE_PART: u64 = 2;
+const VERSION_GRACE_DIVISOR: u64 = 2;
 
 /// What running on a version that is about to be replaced costs, in ms. The
 /// replacement waits for its runs, and requests that come meanwhile are
 /// refused there: unless it is much sooner, the new version is loaded beside.
-const OUTDATED_MS: f64 = 250.0;
+const OUTDATED_COST_MS: f64 = 250.0;
 
 /// How requests spread in a large fleet, in ms: about the prompt of one
 /// request, which is what a daemon that hears of the others twice a second
 /// may miss.
-const STALE_MS: f64 = 150.0;
+const STALE_SPREAD_MS: f64 = 150.0;
 
 /// Homes beyond the targets that hold an adapter to which it may be loaded,
 /// at least: as many as hold it already, so that the copies of an adapter
 /// that has become hot double in the time of a load.
 /// With one, an adapter waits for that engine however long its queue is; with
 /// many it comes to engines that did not have it lately, from the weight store.
-const NEW_HOMES: usize = 2;
+const MIN_NEW_HOMES: usize = 2;
 
 /// Engines that share a wish for an adapter, at most. A dozen of them have a
 /// place every 30 ms with all in use; with every engine of a group of 31 in
 /// each wish, its holder spent its core on looking through wishes, and left
 /// half of them unseen until their time was up.
-const MOST_PICKS: usize = 12;
+const MAX_CANDIDATES: usize = 12;
 
 /// What an engine of another failure domain costs for a hot adapter, in ms:
 /// each domain has engines of its own for it. Daemons hear of the queues
 /// elsewhere a second late, and without this the callers of all domains meet
 /// at the engines that had it first.
-const AWAY_MS: f64 = 150.0;
+const REMOTE_DOMAIN_COST_MS: f64 = 150.0;
 
 /// Wait for a place where all are in use, in ms: a request holds its place
 /// for about a second, and several of them end in that time.
-const FULL_MS: f64 = 250.0;
+const FULL_ENGINE_WAIT_MS: f64 = 250.0;
 
 /// What a request asks of an engine.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Need {
+pub(crate) struct Requirements {
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
     /// Size of the generation.
@@ -64,7 +64,7 @@
     pub(crate) parts: Vec<Part>,
 }
 
-impl Need {
+impl Requirements {
     /// What `ask` asks of an engine.
     pub(crate) fn of(ask: &Ask) -> Self {
         Self {
@@ -90,28 +90,28 @@
 pub(crate) struct Plan {
     pub(crate) target: Arc<Target>,
     /// Prompt tokens to read there.
-    pub(crate) tokens: u64,
+    pub(crate) unread_tokens: u64,
     /// Least version that will do; 0 for any.
-    pub(crate) version: u64,
+    pub(crate) min_version: u64,
     /// Version to insist on.
-    pub(crate) expect: Option<u64>,
+    pub(crate) required_version: Option<u64>,
     /// Estimated ms to the first token, the load included.
     pub(crate) wait_ms: f64,
     /// Whether the adapter has to be loaded first.
-    pub(crate) loads: bool,
+    pub(crate) needs_load: bool,
     /// Engines that may load it, the target first, for the holder.
-    pub(crate) picks: Vec<Pick>,
+    pub(crate) candidates: Vec<Pick>,
     /// The run that a holder has bound to the target.
-    pub(crate) seat: Option<Seat>,
+    pub(crate) run_handle: Option<RunHandle>,
     /// Whether the holder has granted it a part of the target's limit.
     pub(crate) granted: bool,
 }
 
 /// What a choice is made for.
-pub(crate) struct Wish<'a> {
-    pub(crate) need: &'a Need,
+pub(crate) struct Criteria<'a> {
+    pub(crate) requirements: &'a Requirements,
     /// Latency objective of its route, in ms.
-    pub(crate) aim_ms: u64,
+    pub(crate) objective_ms: u64,
     pub(crate) service: &'a Name,
     /// Group whose engines alone come into question: the caller holds its
     /// lease and knows of every run there.
@@ -120,31 +120,31 @@
     /// Targets it was sent to.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
-    pub(crate) closed: &'a [Name],
+    pub(crate) unavailable: &'a [Name],
     /// Whether only targets tried before may be used.
     pub(crate) only_tried: bool,
-    pub(crate) draw: u64,
+    pub(crate) seed: u64,
 }
 
-impl Wish<'_> {
-    fn open(&self, target: &Target) -> bool {
+impl Criteria<'_> {
+    fn allows(&self, target: &Target) -> bool {
         self.group.is_none_or(|g| *target.domain == *g)
-            && !self.closed.contains(&target.id)
+            && !self.unavailable.contains(&target.id)
             && (!self.only_tried || self.tried.contains(&target.id))
     }
 }
 
 /// The target for a request; `None` if none can take it now.
-pub(crate) fn choose(node: &Node, wish: &Wish<'_>) -> Option<Plan> {
+pub(crate) fn choose(node: &Node, criteria: &Criteria<'_>) -> Option<Plan> {
     let now = node.now();
     let settings = node.settings();
     let policies = settings.policies;
     let unavailable = outbound::UnavailableTargets::current(node, now);
     let view = node.view();
-    let targets = view.ready_targets(wish.service, now);
+    let targets = view.ready_targets(criteria.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
-        .filter(|t| wish.open(t) && !unavailable.blocks_sends(&t.id))
+        .filter(|t| criteria.allows(t) && !unavailable.blocks_sends(&t.id))
         .collect();
     let base = |t: &Target| Choice {
         id: t.id.clone(),
@@ -158,18 +158,19 @@
             true => view.board.health(&t.id, now),
             false => 1.0,
         },
-        tried: wish.tried.contains(&t.id),
+        tried: criteria.tried.contains(&t.id),
     };
     let mut loaders = Vec::new();
-    let (choices, version) = match (&wish.need.adapter, wish.engine) {
+    let (choices, version) = match (&criteria.requirements.adapter, criteria.engine) {
         (Some(adapter), Some(engine)) => {
             let version = least_version(node, &view, adapter, now);
-            let wanted = Wanted {
+            let needs = EngineNeeds {
                 adapter,
                 engine,
                 version,
             };
-            let options = engine_choices(node, &view, wish, wanted, &targets, &unavailable, &base);
+            let options =
+                engine_choices(node, &view, criteria, needs, &targets, &unavailable, &base);
             loaders = options.loaders;
             (options.open, version)
         }
@@ -181,35 +182,35 @@
             (targets.iter().map(plain).collect(), 0)
         }
     };
-    let again_ms = wish.aim_ms as f64;
-    let spread = match node.fleet.large() && wish.group.is_none() {
-        true => Spread::Stale(STALE_MS),
+    let again_ms = criteria.objective_ms as f64;
+    let spread = match node.fleet.large() && criteria.group.is_none() {
+        true => Spread::Stale(STALE_SPREAD_MS),
         false => Spread::Equal,
     };
-    let best = pick::best(&choices, again_ms, spread, wish.draw)?;
+    let best = pick::best(&choices, again_ms, spread, criteria.seed)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let loads = best.load_ms > 0.0;
-    let picks = match loads && wish.group.is_some() {
-        true if policies.shared_waits => picks(best, &loaders, again_ms),
-        true => picks(best, &[], again_ms),
+    let candidates = match loads && criteria.group.is_some() {
+        true if policies.shared_waits => candidates(best, &loaders, again_ms),
+        true => candidates(best, &[], again_ms),
         false => Vec::new(),
     };
-    let tokens = unread(&view, wish.need, &target.id);
+    let tokens = unread(&view, criteria.requirements, &target.id);
     Some(Plan {
-        tokens,
-        version,
-        expect: (version > 0).then_some(version),
+        unread_tokens: tokens,
+        min_version: version,
+        required_version: (version > 0).then_some(version),
         wait_ms: best.wait_ms + best.load_ms,
         target,
-        loads,
-        picks,
-        seat: None,
+        needs_load: loads,
+        candidates,
+        run_handle: None,
         granted: false,
     })
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
+fn candidates(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
     let others = loaders.iter().filter(|c| c.id != best.id);
     let others = others.map(|c| Pick {
         target: c.id.clone(),
@@ -220,29 +221,29 @@
         extra_ms: 0,
     };
     std::iter::once(first)
-        .chain(others.take(MOST_PICKS - 1))
+        .chain(others.take(MAX_CANDIDATES - 1))
         .collect()
 }
 
 /// The least version of `adapter` that may still serve.
 fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
-    let grace = node.settings().bounds.version_ms / GRACE_PART;
+    let grace = node.settings().bounds.version_ms / VERSION_GRACE_DIVISOR;
     let named = view.named_versions.get(adapter);
     let due = named.filter(|n| now.saturating_sub(n.learned_ms) >= grace);
     due.map_or(0, |n| n.version)
 }
 
 /// Prompt tokens that `target` has not read yet.
-pub(crate) fn unread(view: &View, need: &Need, target: &Name) -> u64 {
-    let Some(adapter) = &need.adapter else {
+pub(crate) fn unread(view: &View, requirements: &Requirements, target: &Name) -> u64 {
+    let Some(adapter) = &requirements.adapter else {
         return 0;
     };
-    let kept = view.prefixes.kept(adapter, &need.parts, target);
-    need.prompt().saturating_sub(kept).max(1)
+    let kept = view.prefixes.kept(adapter, &requirements.parts, target);
+    requirements.prompt().saturating_sub(kept).max(1)
 }
 
 /// What an engine must have for a request.
-struct Wanted<'a> {
+struct EngineNeeds<'a> {
     adapter: &'a AdapterRef,
     engine: &'a Engine,
     /// Least version that will do; 0 for any.
@@ -250,7 +251,7 @@
 }
 
 /// Engines for a request.
-struct Options {
+struct EngineChoices {
     /// Those that it may choose from.
     open: Vec<Choice>,
     /// All that lack its adapter and may load it.
@@ -260,41 +261,41 @@
 fn engine_choices(
     node: &Node,
     view: &View,
-    wish: &Wish<'_>,
-    wanted: Wanted<'_>,
+    criteria: &Criteria<'_>,
+    needs: EngineNeeds<'_>,
     targets: &[Arc<Target>],
     unavailable: &UnavailableTargets,
     base: &impl Fn(&Target) -> Choice,
-) -> Options {
-    let Wanted {
+) -> EngineChoices {
+    let EngineNeeds {
         adapter,
         engine,
         version,
-    } = wanted;
+    } = needs;
     let now = node.now();
     let key = crate::fleet::key_of(adapter);
     let in_use = node.fleet.in_use(now);
     let used = node.fleet.used(now);
     let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
-    let prices = prices(node, view, wish, engine, targets, &in_use);
+    let prices = prices(node, view, criteria, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
-    let at_home = wish.group.is_some() || targets.iter().any(|t| t.domain == domain);
+    let at_home = criteria.group.is_some() || targets.iter().any(|t| t.domain == domain);
     let resident = |t: &Target| view.residency.version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
     let reader = match policies.shared_prompts {
-        true => pick::reader(&key, &wish.need.parts, holders),
+        true => pick::reader(&key, &criteria.requirements.parts, holders),
         false => None,
     };
     let mut loaders: Vec<(bool, u64, Choice)> = Vec::new();
     let mut out = Vec::new();
     for t in targets.iter().filter(|t| t.holds(&adapter.model)) {
         let mut choice = base(t);
-        let mut tokens = unread(view, wish.need, &t.id);
+        let mut tokens = unread(view, criteria.requirements, &t.id);
         if reader == Some(&t.id) {
-            tokens = tokens.min(wish.need.own_tokens());
+            tokens = tokens.min(criteria.requirements.own_tokens());
         }
         choice.wait_ms = view.board.prefill_ms(&t.id, tokens, now);
         if let Some(prices) = prices {
@@ -302,15 +303,15 @@
             let reading = view.board.reading_ms(tokens as f64);
             choice.beside_ms = prices.reading_ms(reading, streams);
         }
-        let away = hot && at_home && wish.group.is_none() && t.domain != domain;
-        if away {
-            choice.beside_ms += AWAY_MS;
+        let remote = hot && at_home && criteria.group.is_none() && t.domain != domain;
+        if remote {
+            choice.beside_ms += REMOTE_DOMAIN_COST_MS;
         }
         let resident = resident(t);
         let held = adapter.adapter.is_none() || resident.is_some_and(|v| v >= version);
         if held {
             if resident.is_some_and(|v| v < named) {
-                choice.wait_ms += OUTDATED_MS;
+                choice.wait_ms += OUTDATED_COST_MS;
             }
             out.push(choice);
             continue;
@@ -318,7 +319,7 @@
         if resident.is_some() && in_use.get(&t.id).is_some_and(|u| u.contains(adapter)) {
             continue;
         }
-        if away || unavailable.blocks_loads(&t.id) {
+        if remote || unavailable.blocks_loads(&t.id) {
             continue;
         }
         let held_lease = node.token(&t.domain).is_some();
@@ -335,7 +336,7 @@
         let told = used.get(&t.id).copied().unwrap_or(0);
         let full = known.max(told) >= engine.places;
         if full {
-            choice.load_ms += FULL_MS;
+            choice.load_ms += FULL_ENGINE_WAIT_MS;
         }
         // What was held lately is loaded fastest, whatever its rank; a home
         // without a free place comes after those with one.
@@ -347,32 +348,37 @@
         loaders.push((full && !recent, rank, choice));
     }
     loaders.sort_by_key(|(full, rank, _)| (*full, *rank));
-    let homes = if wish.only_tried {
+    let homes = if criteria.only_tried {
         loaders.len()
     } else {
-        out.len().max(NEW_HOMES)
+        out.len().max(MIN_NEW_HOMES)
     };
     let loaders: Vec<Choice> = loaders.into_iter().map(|(_, _, c)| c).collect();
     out.extend(loaders.iter().take(homes).cloned());
-    Options { open: out, loaders }
+    EngineChoices { open: out, loaders }
 }
 
 /// The price of place-time where this daemon knows all runs.
 fn prices(
     node: &Node,
     view: &View,
-    wish: &Wish<'_>,
+    criteria: &Criteria<'_>,
     engine: &Engine,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
 ) -> Option<PlaceTime> {
-    wish.group.filter(|_| node.policies().place_time)?;
+    criteria.group.filter(|_| node.policies().place_time)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
     let all = engine.places * targets.len() as u32;
-    Some(PlaceTime::new(used as u32, all, view.hold, wish.aim_ms))
+    Some(PlaceTime::new(
+        used as u32,
+        all,
+        view.hold,
+        criteria.objective_ms,
+    ))
 }
 
 /// Whether a stalled send may be abandoned for another.
--- a/crates/comfreyhall-node/src/events.rs
+++ b/crates/comfreyhall-node/src/events.rs
@@ -16,13 +16,13 @@
 
 /// Collects bytes into events.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventSplitter {
     buffer: BytesMut,
     /// Where the search for the next end goes on.
     scanned: usize,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes in more bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -30,7 +30,7 @@
 
     /// The next whole event.
     pub(crate) fn next(&mut self) -> Option<Event> {
-        let end = self.end()?;
+        let end = self.event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
         self.scanned = 0;
         Some(Event {
@@ -40,12 +40,12 @@
     }
 
     /// Whether an event has begun and not ended.
-    pub(crate) fn partial(&self) -> bool {
+    pub(crate) fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Position after the first blank line.
-    fn end(&mut self) -> Option<usize> {
+    fn event_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let start = self.scanned.saturating_sub(3);
         for at in start..bytes.len() {
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -13,7 +13,7 @@
 /// How long after its first event a run counts as having just begun, in ms: a
 /// request that ends its target does so within some steps, and the core may be
 /// busy for a tenth of a second between the event and the end.
-const EARLY_MS: u64 = 300;
+const BRIEF_RUN_MS: u64 = 300;
 
 /// One request that waits for a load; drops its work from the board when the
 /// wait ends.
@@ -22,14 +22,14 @@
 /// to load it, and within the time of the load every request for it chooses
 /// that engine, whose queue still looks empty: 18 requests went there at once
 /// and the last one waited 2 s.
-pub(crate) struct Stall {
+pub(crate) struct PendingLoad {
     node: Arc<Node>,
     target: Name,
     adapter: AdapterRef,
     tokens: u64,
 }
 
-impl Stall {
+impl PendingLoad {
     /// Counts a wait at `target` of a request with `tokens` of prompt.
     pub(crate) fn begin(
         node: &Arc<Node>,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Drop for Stall {
+impl Drop for PendingLoad {
     fn drop(&mut self) {
         self.node.view().board.awaited(&self.target, self.tokens);
         self.node.fleet.unpin(&self.target, &self.adapter);
@@ -59,13 +59,13 @@
 ///
 /// What goes wrong without it: a holder binds a run, its daemon gives the
 /// request up before it sends it, and the holder counts a run that never was.
-pub(crate) struct Seat {
+pub(crate) struct RunHandle {
     node: Arc<Node>,
     run: u64,
     target: Arc<Target>,
 }
 
-impl Seat {
+impl RunHandle {
     /// The run `run` of this daemon is to go to `target`.
     pub(crate) fn new(node: &Arc<Node>, run: u64, target: Arc<Target>) -> Self {
         Self {
@@ -75,7 +75,7 @@
         }
     }
 
-    fn tell(&self, what: What) {
+    fn report(&self, what: What) {
         self.node.fleet.tell(Event {
             run: self.run,
             target: self.target.id.clone(),
@@ -85,28 +85,28 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for RunHandle {
     fn drop(&mut self) {
-        self.tell(What::Ended);
+        self.report(What::Ended);
     }
 }
 
 /// One send in progress; drops its work from the board when it ends.
-pub(crate) struct Flight {
+pub(crate) struct ActiveSend {
     node: Arc<Node>,
     pub(crate) target: Name,
     /// What its holder is told under, if the target is an engine.
-    seat: Option<Seat>,
+    run_handle: Option<RunHandle>,
     /// Prompt tokens still counted as backlog.
-    unread: u64,
+    unread_tokens: u64,
     /// Backlog at the start, this request's own included.
-    ahead: u64,
-    began: u64,
+    backlog: u64,
+    began_ms: u64,
     /// When its first event came.
-    answered: Option<u64>,
+    first_event_ms: Option<u64>,
 }
 
-impl Flight {
+impl ActiveSend {
     /// Counts a send of `tokens` of prompt to `target`; `seat`: the run, if
     /// the target is an engine.
     pub(crate) fn begin(
@@ -114,14 +114,14 @@
         target: &Target,
         adapter: Option<AdapterRef>,
         tokens: u64,
-        seat: Option<Seat>,
+        run_handle: Option<RunHandle>,
     ) -> Self {
         let now = node.now();
         let mut view = node.view();
         view.board.begin(&target.id, tokens);
         let ahead = view.board.work(&target.id, now).prefill;
         drop(view);
-        if let Some(seat) = &seat {
+        if let Some(run_handle) = &run_handle {
             let run = Run {
                 target: target.id.clone(),
                 group: target.domain.clone(),
@@ -130,56 +130,56 @@
                 ahead,
                 bound: 0,
             };
-            node.fleet.begin(seat.run, run);
+            node.fleet.begin(run_handle.run, run);
         }
         Self {
             node: node.clone(),
             target: target.id.clone(),
-            seat,
-            unread: tokens,
-            ahead,
-            began: now,
-            answered: None,
+            run_handle,
+            unread_tokens: tokens,
+            backlog: ahead,
+            began_ms: now,
+            first_event_ms: None,
         }
     }
 
     /// The first event came: the prompt was read.
-    pub(crate) fn first(&mut self) -> u64 {
+    pub(crate) fn record_first_event(&mut self) -> u64 {
         let now = self.node.now();
-        self.answered = Some(now);
-        let waited = now.saturating_sub(self.began);
+        self.first_event_ms = Some(now);
+        let wait_ms = now.saturating_sub(self.began_ms);
         let mut view = self.node.view();
-        if self.seat.is_some() {
-            view.board.learn_wait(&self.target, self.ahead, waited);
+        if self.run_handle.is_some() {
+            view.board.learn_wait(&self.target, self.backlog, wait_ms);
         }
-        view.board.read(&self.target, self.unread);
+        view.board.read(&self.target, self.unread_tokens);
         drop(view);
-        self.unread = 0;
-        if let Some(seat) = &self.seat {
-            self.node.fleet.read(seat.run);
-            seat.tell(What::First(waited));
+        self.unread_tokens = 0;
+        if let Some(run_handle) = &self.run_handle {
+            self.node.fleet.read(run_handle.run);
+            run_handle.report(What::First(wait_ms));
         }
-        waited
+        wait_ms
     }
 
     /// Whether its target has just begun to run it, as far as is known.
-    pub(crate) fn early(&self) -> bool {
+    pub(crate) fn ran_briefly(&self) -> bool {
         let now = self.node.now();
-        let answered = |at| now.saturating_sub(at) >= EARLY_MS;
-        !self.answered.is_some_and(answered)
+        let answered = |at| now.saturating_sub(at) >= BRIEF_RUN_MS;
+        !self.first_event_ms.is_some_and(answered)
     }
 
     /// Ms since the send.
-    pub(crate) fn took(&self) -> u64 {
-        self.node.now().saturating_sub(self.began)
+    pub(crate) fn elapsed_ms(&self) -> u64 {
+        self.node.now().saturating_sub(self.began_ms)
     }
 
     /// Takes in how the answer was.
-    pub(crate) fn note(&self, ok: bool, weight: f64) {
+    pub(crate) fn record_outcome(&self, ok: bool, weight: f64) {
         let now = self.node.now();
         self.node.view().board.note(&self.target, ok, weight, now);
-        if let Some(seat) = &self.seat {
-            seat.tell(if ok {
+        if let Some(run_handle) = &self.run_handle {
+            run_handle.report(if ok {
                 What::Good(weight)
             } else {
                 What::Bad(weight)
@@ -188,14 +188,14 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for ActiveSend {
     fn drop(&mut self) {
         let mut view = self.node.view();
-        view.board.read(&self.target, self.unread);
+        view.board.read(&self.target, self.unread_tokens);
         view.board.end(&self.target);
         drop(view);
-        if let Some(seat) = &self.seat {
-            self.node.fleet.end(seat.run);
+        if let Some(run_handle) = &self.run_handle {
+            self.node.fleet.end(run_handle.run);
         }
     }
 }
--- a/crates/comfreyhall-node/src/flood.rs
+++ b/crates/comfreyhall-node/src/flood.rs
@@ -8,49 +8,49 @@
 use std::sync::Mutex;
 
 /// Lines of one kind in a second.
-const MOST: u32 = 20;
+const MAX_LINES: u32 = 20;
 
-const SECOND_MS: u64 = 1_000;
+const WINDOW_MS: u64 = 1_000;
 
 /// One kind of line.
 #[derive(Debug, Default)]
-pub(crate) struct Lines(Mutex<Second>);
+pub(crate) struct LineLimiter(Mutex<Window>);
 
 #[derive(Debug, Default)]
-struct Second {
+struct Window {
     began: u64,
     written: u32,
     left_out: u64,
 }
 
-impl Lines {
+impl LineLimiter {
     /// Whether one may be written at `now`: how many were left out before it.
-    pub(crate) fn take(&self, now: u64) -> Option<u64> {
-        let mut second = self.0.lock().expect("no holder of this lock panics");
-        if now.saturating_sub(second.began) >= SECOND_MS {
-            second.began = now;
-            second.written = 0;
+    pub(crate) fn admit(&self, now: u64) -> Option<u64> {
+        let mut window = self.0.lock().expect("no holder of this lock panics");
+        if now.saturating_sub(window.began) >= WINDOW_MS {
+            window.began = now;
+            window.written = 0;
         }
-        if second.written >= MOST {
-            second.left_out += 1;
+        if window.written >= MAX_LINES {
+            window.left_out += 1;
             return None;
         }
-        second.written += 1;
-        Some(std::mem::take(&mut second.left_out))
+        window.written += 1;
+        Some(std::mem::take(&mut window.left_out))
     }
 }
 
 /// The kinds of lines that are bounded.
 #[derive(Debug, Default)]
-pub(crate) struct Flood {
+pub(crate) struct LogLimits {
     /// Requests without a route or a known key.
-    pub(crate) turned: Lines,
+    pub(crate) rejected: LineLimiter,
     /// Requests over a cap.
-    pub(crate) capped: Lines,
+    pub(crate) over_quota: LineLimiter,
     /// Requests none of whose targets takes anything.
-    pub(crate) shut: Lines,
+    pub(crate) unavailable: LineLimiter,
     /// Answers in which a target says something odd of itself.
-    pub(crate) odd: Lines,
+    pub(crate) bad_notice: LineLimiter,
 }
 
 #[cfg(test)]
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -20,7 +20,7 @@
     clock,
     facts::Book,
     fleet::Fleet,
-    flood::Flood,
+    flood::LogLimits,
     keeper::Keepers,
     leases::Leases,
     metrics::Metrics,
@@ -36,18 +36,18 @@
 
 /// Half-life of the fast count, in ms: an adapter that becomes hot needs its
 /// copies within the first second.
-const RUSH_HALF_LIFE_MS: u64 = 700;
+const FAST_DEMAND_HALF_LIFE_MS: u64 = 700;
 
 /// How long an adapter counts as hot once it was found to be, in ms: each
 /// failure domain has copies of its own by then, and popularity moves on
 /// within some seconds.
-const HOT_MS: u64 = 5_000;
+const HOT_DURATION_MS: u64 = 5_000;
 
 /// Prompt tokens of a request before any came.
-const FIRST_PROMPT: f64 = 1_500.0;
+const INITIAL_MEAN_PROMPT: f64 = 1_500.0;
 
 /// Weight of one request in the mean length of prompts.
-const PROMPT_GAIN: f64 = 0.02;
+const MEAN_PROMPT_WEIGHT: f64 = 0.02;
 
 /// A named version of an adapter.
 #[derive(Debug, Clone, Copy)]
@@ -106,10 +106,10 @@
             prefixes: Prefixes::default(),
             budgets: Map::default(),
             demand: Demand::new(DEMAND_HALF_LIFE_MS),
-            fast_demand: Demand::new(RUSH_HALF_LIFE_MS),
-            bind_demand: Demand::new(RUSH_HALF_LIFE_MS),
+            fast_demand: Demand::new(FAST_DEMAND_HALF_LIFE_MS),
+            bind_demand: Demand::new(FAST_DEMAND_HALF_LIFE_MS),
             hot_until: Map::default(),
-            mean_prompt: FIRST_PROMPT,
+            mean_prompt: INITIAL_MEAN_PROMPT,
             hold: Hold::default(),
             records: Book::default(),
         }
@@ -134,20 +134,21 @@
 
     /// `adapter` is hot from now on.
     pub(crate) fn mark_hot(&mut self, adapter: &AdapterRef, now: u64) {
-        self.hot_until.retain(|_, until| now < *until);
-        self.hot_until.insert(adapter.clone(), now + HOT_MS);
+        self.hot_until.retain(|_, hot_until_ms| now < *hot_until_ms);
+        self.hot_until
+            .insert(adapter.clone(), now + HOT_DURATION_MS);
     }
 
     /// Whether `adapter` was found to be hot lately.
     pub(crate) fn is_hot(&self, adapter: &AdapterRef, now: u64) -> bool {
         self.hot_until
             .get(adapter)
-            .is_some_and(|until| now < *until)
+            .is_some_and(|hot_until_ms| now < *hot_until_ms)
     }
 
     /// Takes in the length of a prompt.
     pub(crate) fn observe_prompt(&mut self, tokens: u32) {
-        self.mean_prompt += PROMPT_GAIN * (f64::from(tokens) - self.mean_prompt);
+        self.mean_prompt += MEAN_PROMPT_WEIGHT * (f64::from(tokens) - self.mean_prompt);
     }
 
     /// The boot that is known of the target listed under `name`.
@@ -174,7 +175,7 @@
             && self
                 .unavailable_until
                 .get(&target.id)
-                .is_none_or(|until| now >= *until)
+                .is_none_or(|hot_until_ms| now >= *hot_until_ms)
     }
 
     /// Targets of `service` that take work, in a fixed order.
@@ -204,7 +205,7 @@
     pub(crate) quotas: Caps,
     /// Limits of targets.
     pub(crate) target_limits: Caps,
-    pub(crate) log_limits: Flood,
+    pub(crate) log_limits: LogLimits,
     pub(crate) outbound: Outbound,
     /// Wakes duties that act on changed settings or targets.
     pub(crate) changed: Notify,
@@ -239,7 +240,7 @@
             quarantine: Watch::default(),
             quotas: Caps::new(Of::Workspaces),
             target_limits: Caps::new(Of::Targets),
-            log_limits: Flood::default(),
+            log_limits: LogLimits::default(),
             outbound: Outbound::default(),
             changed: Notify::new(),
             view: Mutex::default(),
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -20,7 +20,7 @@
 
 /// How long others are told that a target leaves, in ms: news reaches everybody
 /// within some seconds, and a thousand targets may leave within minutes.
-const TELL_MS: u64 = 10_000;
+const DRAINING_GOSSIP_MS: u64 = 10_000;
 
 /// The limits in force, and which group's home keeps each.
 pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, Kept> {
@@ -86,18 +86,18 @@
     }
 }
 
-fn to_wire(target: &Name, word: Word, now: u64) -> TargetWord {
+fn to_wire(target: &Name, notice: Word, now: u64) -> TargetWord {
     TargetWord {
         target: target.to_string(),
-        limit: word.limit.map_or(0.0, Rate::per_s),
-        age_ms: now.saturating_sub(word.heard),
+        limit: notice.limit.map_or(0.0, Rate::per_s),
+        age_ms: now.saturating_sub(notice.heard),
         leaving: false,
     }
 }
 
 /// What targets of `group` told this daemon itself.
 pub(crate) fn own_notices(node: &Node, group: &str) -> Vec<TargetWord> {
-    select(node, |word, of| word.own && of == group)
+    select(node, |notice, of| notice.own && of == group)
 }
 
 /// What is known of targets of `group`.
@@ -120,56 +120,60 @@
         let gates = node.outbound.gates();
         gates.words(now).map(|(t, w)| (t.clone(), w)).collect()
     };
-    let leaving = just_leaving(node, now);
-    if known.is_empty() && leaving.is_empty() {
+    let draining = recently_draining(node, now);
+    if known.is_empty() && draining.is_empty() {
         return Vec::new();
     }
     let groups = caps::groups(node);
-    let told = known.iter().filter(|(target, word)| {
-        group_of(node, target, &groups).is_some_and(|group| wanted(word, &group))
+    let selected = known.iter().filter(|(target, notice)| {
+        group_of(node, target, &groups).is_some_and(|group| wanted(notice, &group))
     });
-    let told = told.map(|(target, word)| to_wire(target, *word, now));
-    told.chain(leaving).collect()
+    let selected = selected.map(|(target, notice)| to_wire(target, *notice, now));
+    selected.chain(draining).collect()
 }
 
 /// Targets that are known to leave for a short while. It is final: everybody may
 /// tell it of everybody.
-fn just_leaving(node: &Node, now: u64) -> Vec<TargetWord> {
+fn recently_draining(node: &Node, now: u64) -> Vec<TargetWord> {
     let gates = node.outbound.gates();
-    let new = gates.leaving(now).filter(|(_, age)| *age < TELL_MS);
-    let words = new.map(|(target, age_ms)| TargetWord {
+    let new = gates
+        .leaving(now)
+        .filter(|(_, age)| *age < DRAINING_GOSSIP_MS);
+    let notices = new.map(|(target, age_ms)| TargetWord {
         target: target.to_string(),
         age_ms,
         leaving: true,
         ..TargetWord::default()
     });
-    words.collect()
+    notices.collect()
 }
 
 /// Takes in what `from` was told by targets.
-pub(crate) fn merge_notices(node: &Node, words: &[TargetWord], from: &str) {
+pub(crate) fn merge_notices(node: &Node, notices: &[TargetWord], from: &str) {
     let now = node.now();
     let mut changed = false;
-    for told in words {
-        let target: Name = told.target.as_str().into();
-        if told.leaving {
+    for notice in notices {
+        let target: Name = notice.target.as_str().into();
+        if notice.leaving {
             let change = node
                 .outbound
                 .gates()
-                .told_leaving(&target, told.age_ms, now);
+                .told_leaving(&target, notice.age_ms, now);
             if let Some(change) = change {
-                log::changed(node, &target, change, from, told.age_ms);
+                log::log_change(node, &target, change, from, notice.age_ms);
             }
             continue;
         }
         let word = Word {
-            limit: (told.limit > 0.0).then(|| Rate::of(told.limit)).flatten(),
-            heard: now.saturating_sub(told.age_ms),
+            limit: (notice.limit > 0.0)
+                .then(|| Rate::of(notice.limit))
+                .flatten(),
+            heard: now.saturating_sub(notice.age_ms),
             own: false,
         };
         let change = node.outbound.gates().told(&target, word, now);
         if let Some(change) = change {
-            log::changed(node, &target, change, from, told.age_ms);
+            log::log_change(node, &target, change, from, notice.age_ms);
             changed = true;
         }
     }
--- a/crates/comfreyhall-node/src/outbound/log.rs
+++ b/crates/comfreyhall-node/src/outbound/log.rs
@@ -6,9 +6,9 @@
 use crate::node::Node;
 
 /// One line for each odd notice, but for a flood of them.
-pub(super) fn odd(node: &Node, target: &Target, notice: &Notice, now: u64) {
+pub(super) fn log_problems(node: &Node, target: &Target, notice: &Notice, now: u64) {
     for problem in &notice.odd {
-        if let Some(left_out) = node.log_limits.odd.take(now) {
+        if let Some(left_out) = node.log_limits.bad_notice.admit(now) {
             log::warn!(target: "outbound", id:% = target.id, problem:%, left_out; "target says something odd");
         }
     }
@@ -16,7 +16,7 @@
 
 /// One line for each change; `by`: whom the target told, `age`: ms since it did
 /// at most.
-pub(super) fn changed(node: &Node, target: &Name, change: Change, by: &str, age: u64) {
+pub(super) fn log_change(node: &Node, target: &Name, change: Change, by: &str, age: u64) {
     match change {
         Change::Limited { limit, before } => {
             let (limit, before) = (limit.per_s(), before.map_or(0.0, |b| b.per_s()));
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -34,7 +34,7 @@
 };
 
 /// Part of a rest, as its divisor, by which it is lengthened at most.
-const REST_SPREAD: u64 = 8;
+const COOLDOWN_JITTER_DIVISOR: u64 = 8;
 
 /// What this daemon knows of what targets say.
 #[derive(Default)]
@@ -50,11 +50,11 @@
 
 /// The same with a rest that is somewhat longer. Daemons that were told together
 /// would come back together, and give the target no rest after its rest.
-fn spread(notice: &Notice) -> Cow<'_, Notice> {
+fn add_jitter(notice: &Notice) -> Cow<'_, Notice> {
     let Some(rest_ms) = notice.rest_ms else {
         return Cow::Borrowed(notice);
     };
-    let more = rand::rng().random_range(0..=rest_ms / REST_SPREAD);
+    let more = rand::rng().random_range(0..=rest_ms / COOLDOWN_JITTER_DIVISOR);
     Cow::Owned(Notice {
         rest_ms: Some(rest_ms + more),
         ..notice.clone()
@@ -63,10 +63,10 @@
 
 /// Takes in what `target` says in the answer to a request that was sent at `sent`,
 /// or to something else.
-fn hear(node: &Arc<Node>, target: &Target, notice: &Notice, sent: Option<u64>) {
+fn observe(node: &Arc<Node>, target: &Target, notice: &Notice, sent: Option<u64>) {
     let now = node.now();
-    log::odd(node, target, notice, now);
-    let notice = spread(notice);
+    log::log_problems(node, target, notice, now);
+    let notice = add_jitter(notice);
     let changes = node.outbound.gates().hear(&target.id, &notice, sent, now);
     // Most answers say nothing new.
     if changes.is_empty() {
@@ -75,7 +75,7 @@
     let by = node.settings().id.clone();
     for change in changes {
         let age = sent.map_or(0, |s| now - s);
-        log::changed(node, &target.id, change, &by, age);
+        log::log_change(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
             caps::refresh(node, Of::Targets);
             limits::announce(node, &target.id);
@@ -88,7 +88,7 @@
     let now = node.now();
     let ended = node.outbound.gates().sweep(now);
     for (target, change) in ended {
-        log::changed(node, &target, change, "time", 0);
+        log::log_change(node, &target, change, "time", 0);
     }
 }
 
@@ -115,8 +115,8 @@
     target: &Target,
     granted: bool,
 ) -> Result<Permit, Unavailable> {
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(closed);
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(blocked);
     }
     if granted {
         let credit = Some(Credit::granted(node, &target.id));
@@ -140,8 +140,8 @@
     patience: Duration,
 ) -> Result<Response, SendError> {
     // It may have said so since the permit was taken.
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(SendError::NotSent(closed.why.into()));
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(SendError::NotSent(blocked.why.into()));
     }
     // From here on it may arrive, also if nobody waits for it any more.
     if let Some(credit) = &mut permit.credit {
@@ -153,7 +153,7 @@
     let answer =
         answer.unwrap_or_else(|_| Err(SendError::Indeterminate("no answer in time".into())));
     match &answer {
-        Ok(response) => hear(node, target, &response.notice, Some(sent)),
+        Ok(response) => observe(node, target, &response.notice, Some(sent)),
         Err(SendError::NotSent(_)) => permit.give_back(),
         Err(_) => {}
     }
@@ -172,7 +172,7 @@
     }
     let call = node.backend.command(target.clone(), command);
     match timeout(patience, call).await {
-        Ok(heard) => take(node, target, heard),
+        Ok(reply) => observe_reply(node, target, reply),
         Err(_) => CommandReply::Silent("no answer in time".into()),
     }
 }
@@ -183,12 +183,12 @@
     target: &Arc<Target>,
     patience: Duration,
 ) -> Result<Report, ReportError> {
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(ReportError::NoAnswer(closed.why.into()));
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(ReportError::NoAnswer(blocked.why.into()));
     }
     let call = node.backend.report(target.clone());
     match timeout(patience, call).await {
-        Ok(heard) => take(node, target, heard),
+        Ok(reply) => observe_reply(node, target, reply),
         Err(_) => Err(ReportError::NoAnswer("no answer in time".into())),
     }
 }
@@ -199,11 +199,11 @@
     if node.outbound.gates().rest_ms(&target.id, node.now()) > 0 {
         return ProbeResult::NoAnswer;
     }
-    let heard = node.backend.probe(target.clone()).await;
-    take(node, target, heard)
+    let reply = node.backend.probe(target.clone()).await;
+    observe_reply(node, target, reply)
 }
 
-fn take<T>(node: &Arc<Node>, target: &Target, heard: TargetReply<T>) -> T {
-    hear(node, target, &heard.notice, None);
-    heard.answer
+fn observe_reply<T>(node: &Arc<Node>, target: &Target, reply: TargetReply<T>) -> T {
+    observe(node, target, &reply.notice, None);
+    reply.answer
 }
--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -8,10 +8,10 @@
 
 /// When to look for another target where all leave, in ms: others come in some
 /// seconds, and are listed within one.
-const LEAVING_MS: u64 = 1_000;
+const DRAINING_RETRY_MS: u64 = 1_000;
 
 /// Targets named in one line of the log.
-const NAMED: usize = 8;
+const MAX_LISTED_TARGETS: usize = 8;
 
 /// Why nothing may be sent to a target now, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     if gates.leaves(target, now) {
         return Some(Unavailable {
             why: "it leaves",
-            retry_ms: LEAVING_MS,
+            retry_ms: DRAINING_RETRY_MS,
         });
     }
     let retry_ms = gates.rest_ms(target, now);
@@ -46,7 +46,7 @@
 /// not fill it with one line.
 pub(crate) fn describe_unavailable(node: &Node, targets: &[Arc<Target>], now: u64) -> String {
     let gates = node.outbound.gates();
-    let said = targets.iter().take(NAMED).map(|t| {
+    let states = targets.iter().take(MAX_LISTED_TARGETS).map(|t| {
         let id = &t.id;
         if gates.leaves(id, now) {
             return format!("{id} leaves");
@@ -57,11 +57,11 @@
             (ms, _) => format!("{id} rests for {ms} ms"),
         }
     });
-    let said: Vec<String> = said.collect();
-    let more = targets.len().saturating_sub(NAMED);
+    let states: Vec<String> = states.collect();
+    let more = targets.len().saturating_sub(MAX_LISTED_TARGETS);
     match more {
-        0 => said.join(", "),
-        _ => format!("{} and {more} more", said.join(", ")),
+        0 => states.join(", "),
+        _ => format!("{} and {more} more", states.join(", ")),
     }
 }
 
@@ -69,54 +69,54 @@
 #[derive(Debug, Default)]
 pub(crate) struct UnavailableTargets {
     /// Those to which nothing may be sent, and for how many ms.
-    sends: Map<Name, u64>,
+    no_sends: Map<Name, u64>,
     /// Those that are to load nothing more.
-    loads: Set<Name>,
+    no_loads: Set<Name>,
 }
 
 impl UnavailableTargets {
     /// As far as is known here.
     pub(crate) fn current(node: &Node, now: u64) -> Self {
-        let mut targets = Self::default();
+        let mut found = Self::default();
         let gates = node.outbound.gates();
         for (target, _) in gates.leaving(now) {
-            targets.sends.insert(target.clone(), LEAVING_MS);
-            targets.loads.insert(target.clone());
+            found.no_sends.insert(target.clone(), DRAINING_RETRY_MS);
+            found.no_loads.insert(target.clone());
         }
         for (target, ms) in gates.resting(now) {
-            let known = targets.sends.entry(target.clone()).or_default();
-            *known = ms.max(*known);
-            targets.loads.insert(target.clone());
+            let known_ms = found.no_sends.entry(target.clone()).or_default();
+            *known_ms = ms.max(*known_ms);
+            found.no_loads.insert(target.clone());
         }
         for (target, _) in gates.limited(now) {
             let ms = node.target_limits.closed_ms(target, now);
             if ms > 0 {
-                let known = targets.sends.entry(target.clone()).or_default();
-                *known = ms.max(*known);
+                let known_ms = found.no_sends.entry(target.clone()).or_default();
+                *known_ms = ms.max(*known_ms);
             }
             if !node.target_limits.spare(target, now) {
-                targets.loads.insert(target.clone());
+                found.no_loads.insert(target.clone());
             }
         }
-        targets
+        found
     }
 
     /// Whether nothing may be sent to `target`.
     pub(crate) fn blocks_sends(&self, target: &Name) -> bool {
-        self.sends.contains_key(target)
+        self.no_sends.contains_key(target)
     }
 
     /// Whether `target` is to load nothing more: it takes less than it is asked
     /// for already.
     pub(crate) fn blocks_loads(&self, target: &Name) -> bool {
-        self.loads.contains(target)
+        self.no_loads.contains(target)
     }
 
     /// Ms until one of `targets` may take something, if none does now.
     pub(crate) fn all_ms<'a>(&self, targets: impl Iterator<Item = &'a Name>) -> Option<u64> {
         let mut least = None;
         for target in targets {
-            let ms = *self.sends.get(target)?;
+            let ms = *self.no_sends.get(target)?;
             least = Some(least.map_or(ms, |l: u64| l.min(ms)));
         }
         least
--- a/crates/comfreyhall-node/src/relay.rs
+++ b/crates/comfreyhall-node/src/relay.rs
@@ -13,36 +13,36 @@
 use futures::StreamExt;
 
 use crate::{
-    events::{Event, Events},
-    flight::Flight,
+    events::{Event, EventSplitter},
+    flight::ActiveSend,
     ports::Body,
-    serve::{EventStream, Job},
+    serve::{ActiveRequest, EventStream},
 };
 
 /// A pause in a stream after which its target is taken for mute, in ms.
 /// Callers count pauses over some 400 ms as late and leave after seconds;
 /// steps take 10 to 50 ms, so a second without one is no ordinary load.
-const MUTE_MS: u64 = 1_200;
+const MAX_EVENT_GAP_MS: u64 = 1_200;
 
 /// Resumptions of one stream at most.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 
 /// A stream from one target after another.
 pub(crate) struct Relay {
     body: Body,
-    events: Events,
-    ready: VecDeque<Event>,
+    splitter: EventSplitter,
+    pending: VecDeque<Event>,
     /// Last event passed on.
-    last: Option<u64>,
-    pub(crate) flight: Flight,
-    passed: u64,
+    last_event: Option<u64>,
+    pub(crate) send: ActiveSend,
+    events_sent: u64,
     resumes: u32,
     /// When events were last passed on; 0 for never.
-    passed_at: u64,
+    last_sent_ms: u64,
     /// Longest pause between events so far, in ms.
-    pause: u64,
+    max_pause_ms: u64,
     /// Whether the target closed the connection before the end.
-    pub(crate) closed: bool,
+    pub(crate) connection_closed: bool,
 }
 
 /// What came next from a target.
@@ -54,26 +54,26 @@
 
 impl Relay {
     /// Relays `body`; `last` is the last event the caller has.
-    pub(crate) fn new(body: Body, flight: Flight, last: Option<u64>) -> Self {
+    pub(crate) fn new(body: Body, send: ActiveSend, last_event: Option<u64>) -> Self {
         Self {
             body,
-            events: Events::default(),
-            ready: VecDeque::new(),
-            last,
-            flight,
-            passed: 0,
+            splitter: EventSplitter::default(),
+            pending: VecDeque::new(),
+            last_event,
+            send,
+            events_sent: 0,
             resumes: 0,
-            passed_at: 0,
-            pause: 0,
-            closed: false,
+            last_sent_ms: 0,
+            max_pause_ms: 0,
+            connection_closed: false,
         }
     }
 
     /// Waits for the first event.
-    pub(crate) async fn first(&mut self, limit: Duration) -> Result<(), String> {
+    pub(crate) async fn first_event(&mut self, limit: Duration) -> Result<(), String> {
         match tokio::time::timeout(limit, self.step()).await {
             Ok(Step::Events) => {
-                self.flight.first();
+                self.send.record_first_event();
                 Ok(())
             }
             Ok(Step::End) => Err("it ended without an event".to_string()),
@@ -85,22 +85,22 @@
     /// The next events, or the end, of the current target.
     async fn step(&mut self) -> Step {
         loop {
-            while let Some(event) = self.events.next() {
+            while let Some(event) = self.splitter.next() {
                 if let Err(why) = self.accept(event) {
                     return Step::Broken(why);
                 }
             }
-            if !self.ready.is_empty() {
+            if !self.pending.is_empty() {
                 return Step::Events;
             }
             match self.body.next().await {
-                Some(Ok(bytes)) => self.events.push(&bytes),
-                Some(Err(broken)) => {
-                    self.closed = broken.connection_closed;
-                    return Step::Broken(broken.reason);
+                Some(Ok(bytes)) => self.splitter.push(&bytes),
+                Some(Err(error)) => {
+                    self.connection_closed = error.connection_closed;
+                    return Step::Broken(error.reason);
                 }
-                None if self.events.partial() => {
-                    self.closed = true;
+                None if self.splitter.has_partial() => {
+                    self.connection_closed = true;
                     return Step::Broken("it ended within an event".to_string());
                 }
                 None => return Step::End,
@@ -110,7 +110,7 @@
 
     /// Takes an event in order; drops those the caller has.
     fn accept(&mut self, event: Event) -> Result<(), String> {
-        let newest = self.ready.back().and_then(|e| e.id).or(self.last);
+        let newest = self.pending.back().and_then(|e| e.id).or(self.last_event);
         match (event.id, newest) {
             (Some(id), Some(last)) if id <= last => return Ok(()),
             (Some(id), Some(last)) if id > last + 1 => {
@@ -118,91 +118,91 @@
             }
             _ => {}
         }
-        self.ready.push_back(event);
+        self.pending.push_back(event);
         Ok(())
     }
 
     /// The stream for the caller.
-    pub(crate) fn run(self, job: Job) -> EventStream {
-        let state = Some((self, job));
+    pub(crate) fn run(self, request: ActiveRequest) -> EventStream {
+        let state = Some((self, request));
         Box::pin(futures::stream::unfold(state, |state| async {
-            let (mut relay, mut job) = state?;
-            match relay.next(&mut job).await {
-                Some(Ok(bytes)) => Some((Ok(bytes), Some((relay, job)))),
+            let (mut relay, mut request) = state?;
+            match relay.next(&mut request).await {
+                Some(Ok(bytes)) => Some((Ok(bytes), Some((relay, request)))),
                 Some(Err(why)) => Some((Err(why), None)),
                 None => None,
             }
         }))
     }
 
-    async fn next(&mut self, job: &mut Job) -> Option<Result<Bytes, String>> {
+    async fn next(&mut self, request: &mut ActiveRequest) -> Option<Result<Bytes, String>> {
         loop {
-            if let Some(bytes) = self.take_ready() {
-                self.time_pause(job.node.now());
+            if let Some(bytes) = self.take_pending() {
+                self.record_pause(request.node.now());
                 return Some(Ok(bytes));
             }
-            let pause = MUTE_MS.min(job.left());
+            let pause = MAX_EVENT_GAP_MS.min(request.remaining_ms());
             let why = match tokio::time::timeout(Duration::from_millis(pause), self.step()).await {
                 Ok(Step::Events) => continue,
                 Ok(Step::End) => {
-                    self.flight.note(true, 1.0);
-                    job.ran_whole();
-                    job.ended = true;
-                    job.node.metrics.request(job.route.kind, "answered");
-                    log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, target_id:% = self.flight.target, adapter:% = job.adapter(), events = self.passed, resumes = self.resumes, first = job.first, stall = job.stall, pause = self.pause, aim = job.route.target_ms, sends = job.verdict.sends, ms = self.flight.took(); "streamed");
+                    self.send.record_outcome(true, 1.0);
+                    request.report_completed();
+                    request.finished = true;
+                    request.node.metrics.request(request.route.kind, "answered");
+                    log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, target_id:% = self.send.target, adapter:% = request.adapter(), events = self.events_sent, resumes = self.resumes, first = request.first_event_ms, stall = request.load_wait_ms, pause = self.max_pause_ms, aim = request.route.target_ms, sends = request.verdict.sends, ms = self.send.elapsed_ms(); "streamed");
                     return None;
                 }
                 Ok(Step::Broken(why)) => why,
-                Err(_) if job.left() == 0 => "its time is up".to_string(),
-                Err(_) if !job.route.repeatable() => continue,
+                Err(_) if request.remaining_ms() == 0 => "its time is up".to_string(),
+                Err(_) if !request.route.repeatable() => continue,
                 Err(_) => "no event for too long".to_string(),
             };
-            if let Err(why) = self.resume(job, why).await {
+            if let Err(why) = self.resume(request, why).await {
                 return Some(Err(why));
             }
         }
     }
 
     /// Notes the pause before what is passed on at `now`.
-    fn time_pause(&mut self, now: u64) {
-        if self.passed_at > 0 {
-            self.pause = self.pause.max(now.saturating_sub(self.passed_at));
+    fn record_pause(&mut self, now: u64) {
+        if self.last_sent_ms > 0 {
+            self.max_pause_ms = self.max_pause_ms.max(now.saturating_sub(self.last_sent_ms));
         }
-        self.passed_at = now;
+        self.last_sent_ms = now;
     }
 
     /// Events that wait, in one piece.
-    fn take_ready(&mut self) -> Option<Bytes> {
-        let first = self.ready.pop_front()?;
-        self.last = first.id.or(self.last);
-        self.passed += 1;
-        if self.ready.is_empty() {
+    fn take_pending(&mut self) -> Option<Bytes> {
+        let first = self.pending.pop_front()?;
+        self.last_event = first.id.or(self.last_event);
+        self.events_sent += 1;
+        if self.pending.is_empty() {
             return Some(first.bytes);
         }
         let mut all = BytesMut::from(&first.bytes[..]);
-        while let Some(event) = self.ready.pop_front() {
-            self.last = event.id.or(self.last);
-            self.passed += 1;
+        while let Some(event) = self.pending.pop_front() {
+            self.last_event = event.id.or(self.last_event);
+            self.events_sent += 1;
             all.extend_from_slice(&event.bytes);
         }
         Some(all.freeze())
     }
 
     /// Goes on at another target after the last event passed on.
-    async fn resume(&mut self, job: &mut Job, why: String) -> Result<(), String> {
-        self.flight.note(false, 1.0);
-        if std::mem::take(&mut self.closed) {
-            job.broke(&self.flight);
+    async fn resume(&mut self, request: &mut ActiveRequest, why: String) -> Result<(), String> {
+        self.send.record_outcome(false, 1.0);
+        if std::mem::take(&mut self.connection_closed) {
+            request.report_closed(&self.send);
         }
-        job.verdict.add(Outcome::Broken);
-        let last = self.last;
-        log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, fingerprint:% = job.fingerprint(), target_id:% = self.flight.target, events = self.passed, why, left = job.left(); "stream broke off");
+        request.verdict.add(Outcome::Broken);
+        let last = self.last_event;
+        log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, fingerprint:% = request.fingerprint(), target_id:% = self.send.target, events = self.events_sent, why, left = request.remaining_ms(); "stream broke off");
         // The old run must be gone before the new one begins.
         self.body = Box::pin(futures::stream::empty());
-        self.events = Events::default();
-        while job.route.repeatable() && last.is_some() && self.resumes < RESUMES {
+        self.splitter = EventSplitter::default();
+        while request.route.repeatable() && last.is_some() && self.resumes < MAX_RESUMES {
             self.resumes += 1;
-            let Ok((response, flight)) = job.again(last).await else {
+            let Ok((response, send)) = request.resume_elsewhere(last).await else {
                 break;
             };
             if response.refusal.is_some() || !response.status.is_success() || !response.event_stream
@@ -210,12 +210,15 @@
                 continue;
             }
             self.body = response.body;
-            self.flight = flight;
+            self.send = send;
             return Ok(());
         }
-        job.ended = true;
-        job.node.metrics.request(job.route.kind, "broken_off");
-        log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name, last:? = last, resumes = self.resumes; "stream given up");
+        request.finished = true;
+        request
+            .node
+            .metrics
+            .request(request.route.kind, "broken_off");
+        log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, last:? = last, resumes = self.resumes; "stream given up");
         Err(why)
     }
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -3,7 +3,7 @@
 use comfreyhall_domain::{Allowance, Answer, Ask, Caller, Config, Route, answer_for};
 use comfreyhall_inforce::{InForce, Taken, Verdict};
 
-use super::{Job, NOT_READY_MS, Reply};
+use super::{ActiveRequest, NOT_READY_RETRY_MS, Reply};
 use crate::{
     caps::{self, Of, Refused},
     node::Node,
@@ -11,68 +11,68 @@
 
 /// When a caller whose workspace may use nothing should come back, in ms: its
 /// cap has to be written anew first.
-const CLOSED_MS: u64 = 3_000;
+const CLOSED_QUOTA_RETRY_MS: u64 = 3_000;
 
 /// Why a request is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Turned {
+pub(super) enum Rejection {
     /// No route covers it.
     NoRoute,
     /// Its key belongs to nobody.
-    NoKey,
+    UnknownKey,
     /// Newer settings may be in force that have its route, or its key.
-    Unsure,
+    Unconfirmed,
 }
 
 /// The route of `ask` and who calls, by `config`.
-pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Turned> {
+pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Rejection> {
     let path = ask.message.path.split('?').next().unwrap_or("");
     let Some(route) = config.route(&ask.host, path) else {
         // The route may have been added where this daemon could not hear of it.
         return Err(match node.settings_may_lag() {
-            true => Turned::Unsure,
-            false => Turned::NoRoute,
+            true => Rejection::Unconfirmed,
+            false => Rejection::NoRoute,
         });
     };
-    if config.workspaces.is_some() && !route.public && node.keys_lapsed() {
-        return Err(Turned::Unsure);
+    if config.workspaces.is_some() && !route.public && node.keys_expired() {
+        return Err(Rejection::Unconfirmed);
     }
     match config.caller(route, ask.key.as_ref()) {
         Some(caller) => Ok((route.clone(), caller)),
         // A caller does not come back after the final answer, and the key may
         // have been given out a moment ago.
-        None if ask.key.is_some() && node.settings_may_lag() => Err(Turned::Unsure),
-        None => Err(Turned::NoKey),
+        None if ask.key.is_some() && node.settings_may_lag() => Err(Rejection::Unconfirmed),
+        None => Err(Rejection::UnknownKey),
     }
 }
 
 /// What a request was judged by, for the log; times in ms.
-pub(super) struct Basis {
+pub(super) struct SettingsBasis {
     /// Version of the newest row of the settings.
-    pub(super) row: u64,
+    pub(super) version: u64,
     /// Who told of it: the store or a daemon's id.
-    pub(super) from: String,
+    pub(super) source: String,
     /// Since when it is known.
-    pub(super) held: u64,
+    pub(super) known_ms: u64,
     /// Since when the store has said so.
-    pub(super) age: u64,
+    pub(super) age_ms: u64,
     /// A newer version that was heard of; 0 for none.
-    pub(super) newer: u64,
+    pub(super) newer_version: u64,
     /// Since when the store has not answered; 0 if it answers.
-    pub(super) away: u64,
+    pub(super) outage_ms: u64,
 }
 
-impl Basis {
+impl SettingsBasis {
     pub(super) fn of(known: &InForce, now: u64) -> Self {
         let since = |at: u64| now.saturating_sub(at);
         let from = |taken: &Taken| taken.way.to_string();
         Self {
-            row: known.newest(),
-            from: known.taken().map_or_else(String::new, from),
-            held: known.taken().map_or(0, |t| since(t.at)),
-            age: known.age(now),
-            newer: known.heard().map_or(0, |h| h.version),
-            away: known.away().map_or(0, since),
+            version: known.newest(),
+            source: known.taken().map_or_else(String::new, from),
+            known_ms: known.taken().map_or(0, |t| since(t.at)),
+            age_ms: known.age(now),
+            newer_version: known.heard().map_or(0, |h| h.version),
+            outage_ms: known.away().map_or(0, since),
         }
     }
 }
@@ -87,37 +87,37 @@
     }
 
     /// Whether no key counts any more, since it may have been taken back.
-    fn keys_lapsed(&self) -> bool {
-        let Some(most) = self.settings().bounds.revoke_ms else {
+    fn keys_expired(&self) -> bool {
+        let Some(max_age_ms) = self.settings().bounds.revoke_ms else {
             return false;
         };
         let now = self.now();
-        self.view().records.in_force.age(now) > most
+        self.view().records.in_force.age(now) > max_age_ms
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
     /// flood of them.
-    pub(super) fn turn_away(&self, ask: &Ask, config: u64, why: Turned) -> Reply {
+    pub(super) fn reject(&self, ask: &Ask, config: u64, why: Rejection) -> Reply {
         let (reply, refusal) = match why {
-            Turned::NoRoute => (Reply::NoRoute, "no route"),
-            Turned::NoKey => (Reply::UnknownKey, "unknown key"),
-            Turned::Unsure => {
-                let retry_ms = NOT_READY_MS;
+            Rejection::NoRoute => (Reply::NoRoute, "no route"),
+            Rejection::UnknownKey => (Reply::UnknownKey, "unknown key"),
+            Rejection::Unconfirmed => {
+                let retry_ms = NOT_READY_RETRY_MS;
                 (Reply::NotReady { retry_ms }, "newer settings may allow it")
             }
         };
         self.metrics.refusal(refusal);
-        if let Some(left_out) = self.log_limits.turned.take(self.now()) {
-            let basis = Basis::of(&self.view().records.in_force, self.now());
-            log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.row, from = basis.from, held = basis.held, age = basis.age, newer = basis.newer, away = basis.away; "turned away");
+        if let Some(left_out) = self.log_limits.rejected.admit(self.now()) {
+            let basis = SettingsBasis::of(&self.view().records.in_force, self.now());
+            log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.version, from = basis.source, held = basis.known_ms, age = basis.age_ms, newer = basis.newer_version, away = basis.outage_ms; "turned away");
         }
         reply
     }
 }
 
-impl Job {
+impl ActiveRequest {
     /// Takes credit for the request, if its workspace has a cap.
-    pub(super) async fn take_credit(&mut self, config: &Config) -> Option<Reply> {
+    pub(super) async fn reserve_credit(&mut self, config: &Config) -> Option<Reply> {
         let workspace = self.caller.workspace()?.clone();
         let cap = match workspace.allowance {
             Allowance::Unlimited => return None,
@@ -125,7 +125,7 @@
                 return Some(self.refuse_credit(
                     0,
                     Refused::Over {
-                        retry_ms: CLOSED_MS,
+                        retry_ms: CLOSED_QUOTA_RETRY_MS,
                     },
                 ));
             }
@@ -146,14 +146,14 @@
 
     /// The final answer to a request without credit, at once.
     fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
-        self.ended = true;
+        self.finished = true;
         let now = self.node.now();
         let workspace = self.caller.workspace().map_or("", |w| &*w.name).to_string();
         let (reason, over, retry_ms) = match why {
             Refused::Over { retry_ms } => ("over its cap", true, retry_ms),
             Refused::Unsure { retry_ms } => ("its use is not known", false, retry_ms),
         };
-        let retry_ms = self.retry_ms(retry_ms as f64);
+        let retry_ms = self.retry_after_ms(retry_ms as f64);
         let answer = match over {
             true => Answer::OverCap { retry_ms },
             false => Answer::NotRun { retry_ms },
@@ -161,7 +161,7 @@
         self.node.metrics.refusal(reason);
         self.node.metrics.workspace(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
-        if let Some(left_out) = self.node.log_limits.capped.take(now) {
+        if let Some(left_out) = self.node.log_limits.over_quota.admit(now) {
             let basis = self.node.quotas.basis(&workspace, now);
             let home = basis.home.as_deref().unwrap_or("");
             // Whole units a second, and per cent.
@@ -176,17 +176,17 @@
     ///
     /// What goes wrong without it: a request waits for a place while its key is
     /// taken back, and is sent seconds after everybody has been told.
-    pub(super) fn still_welcome(&self) -> bool {
+    pub(super) fn key_still_valid(&self) -> bool {
         let Some(config) = self.node.config() else {
             return false;
         };
         let Some(known) = self.caller.workspace() else {
             return true;
         };
-        if self.node.keys_lapsed() {
+        if self.node.keys_expired() {
             return false;
         }
-        if config.version == self.config {
+        if config.version == self.config_version {
             return true;
         }
         let found = config.caller(&self.route, self.ask.key.as_ref());
@@ -195,15 +195,15 @@
     }
 
     /// The final answer to a request whose key was taken back meanwhile.
-    pub(super) fn unwelcome(&mut self) -> Reply {
+    pub(super) fn reject_revoked_key(&mut self) -> Reply {
         let why = "its key was taken back";
-        self.ended = true;
-        self.give_credit_back();
+        self.finished = true;
+        self.return_credit();
         self.node.metrics.refusal(why);
-        if let Some(reply) = self.spare_reply(why) {
+        if let Some(reply) = self.fallback_reply(why) {
             return reply;
         }
-        let held = self.node.now() - self.began;
+        let held = self.node.now() - self.began_ms;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
         match self.verdict.doubt {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
@@ -212,7 +212,7 @@
     }
 
     /// Its credit goes back if it has surely not run.
-    pub(super) fn give_credit_back(&mut self) {
+    pub(super) fn return_credit(&mut self) {
         if let Some(credit) = self.credit.take()
             && !self.verdict.doubt
         {
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -3,9 +3,9 @@
 use comfreyhall_domain::{Ask, Caller, answer_held};
 use comfreyhall_quarantine::Fingerprint;
 
-use super::{Job, Reply};
+use super::{ActiveRequest, Reply};
 use crate::{
-    flight::Flight,
+    flight::ActiveSend,
     quarantine::{self, Admission},
 };
 
@@ -23,7 +23,7 @@
     ])
 }
 
-impl Job {
+impl ActiveRequest {
     /// Its identity over all attempts. Computed when first asked for: most
     /// requests are never compared with another.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
@@ -33,13 +33,13 @@
     }
 
     /// The target closed the connection of the run `flight`.
-    pub(crate) fn broke(&self, flight: &Flight) {
-        let target = &flight.target;
-        quarantine::broke(&self.node, target, self.fingerprint(), flight.early());
+    pub(crate) fn report_closed(&self, send: &ActiveSend) {
+        let target = &send.target;
+        quarantine::broke(&self.node, target, self.fingerprint(), send.ran_briefly());
     }
 
     /// A target ran it to its end.
-    pub(crate) fn ran_whole(&self) {
+    pub(crate) fn report_completed(&self) {
         if !self.node.quarantine.is_empty() {
             quarantine::ran_whole(&self.node, self.fingerprint());
         }
@@ -49,7 +49,7 @@
     ///
     /// Looked at before each send: a request may wait for seconds in between,
     /// and what the others find meanwhile counts.
-    pub(super) async fn held_back(&mut self) -> Option<u64> {
+    pub(super) async fn quarantined_ms(&mut self) -> Option<u64> {
         if self.node.quarantine.is_empty() {
             return None;
         }
@@ -74,16 +74,16 @@
     }
 
     /// The final answer to a request that is held back, at once.
-    pub(super) fn hold_back(&mut self, retry_ms: u64) -> Reply {
+    pub(super) fn reject_quarantined(&mut self, retry_ms: u64) -> Reply {
         let why = "targets ended under it";
-        self.ended = true;
-        self.give_credit_back();
+        self.finished = true;
+        self.return_credit();
         self.node.metrics.refusal(why);
-        if let Some(reply) = self.spare_reply(why) {
+        if let Some(reply) = self.fallback_reply(why) {
             return reply;
         }
-        let (now, left, fingerprint) = (self.node.now(), self.left(), self.fingerprint());
-        let held = now - self.began;
+        let (now, left, fingerprint) = (self.node.now(), self.remaining_ms(), self.fingerprint());
+        let held = now - self.began_ms;
         let answer = answer_held(&self.verdict, retry_ms);
         let evidence = self.node.quarantine.ends(&fingerprint, now);
         self.node.metrics.request(self.route.kind, answer.name());
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -25,10 +25,10 @@
 use http::{HeaderMap, StatusCode};
 use rand::Rng;
 
-use self::{caller::Basis, place::Found, send::Next};
+use self::{caller::SettingsBasis, place::BindOutcome, send::Next};
 use crate::{
     caps::Credit,
-    choose::{self, Need, Plan, Wish},
+    choose::{self, Criteria, Plan, Requirements},
     fleet::key_of,
     node::{InFlightGuard, Node},
     quarantine::Trial,
@@ -37,23 +37,23 @@
 
 /// Sends and looks for a place in one request at most: a guard against
 /// going round in circles, above what the time of a request allows.
-const ROUNDS: u32 = 40;
+const MAX_ROUNDS: u32 = 40;
 
 /// When a caller whose sends are all spent should come back, as a part of the
 /// route's objective: the targets that failed it are then known to be ill.
-const SPENT_PART: f64 = 0.5;
+const EXHAUSTED_RETRY_SHARE: f64 = 0.5;
 
 /// Pause before a target that was full is asked again, in ms: queues there
 /// move on by a prompt in that time, and an adapter that is being replaced is
 /// back. Asked again at once, some were asked every 7 ms, which spent the
 /// budget that all repeats share.
-const FULL_MS: u64 = 100;
+const FULL_RETRY_MS: u64 = 100;
 
 /// Times that targets may be full before the request is given up.
-const FULL_TIMES: u32 = 3;
+const MAX_FULL_REFUSALS: u32 = 3;
 
 /// Pause before looking again when no target can take a request, in ms.
-const LOOK_MS: u64 = 25;
+const RECHECK_MS: u64 = 25;
 
 /// A stream of whole events; an error means that it breaks off.
 pub type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, String>> + Send>>;
@@ -93,13 +93,13 @@
 }
 
 /// When to come back to a daemon that is not ready, in ms.
-const NOT_READY_MS: u64 = 300;
+const NOT_READY_RETRY_MS: u64 = 300;
 
 /// One request on its way.
-pub(crate) struct Job {
+pub(crate) struct ActiveRequest {
     pub(crate) node: Arc<Node>,
     pub(crate) ask: Arc<Ask>,
-    need: Arc<Need>,
+    requirements: Arc<Requirements>,
     /// Its identity over all attempts, once it was needed.
     fingerprint: OnceLock<Fingerprint>,
     pub(crate) route: Route,
@@ -107,43 +107,43 @@
     /// Order among requests; 0 is first.
     rank: u8,
     /// Version of the configuration that let it in.
-    config: u64,
+    config_version: u64,
     /// Credit under its workspace's cap.
     credit: Option<Credit>,
     service: Name,
     engine: Option<Engine>,
-    began: u64,
+    began_ms: u64,
     /// When its time is up.
-    pub(crate) limit: u64,
-    draw: u64,
+    pub(crate) deadline_ms: u64,
+    seed: u64,
     pub(crate) tried: Vec<Name>,
-    closed: Vec<Name>,
+    unavailable: Vec<Name>,
     /// Times that a target was full.
-    full: u32,
+    full_refusals: u32,
     pub(crate) verdict: Verdict,
     /// Sends that reached a target.
-    arrivals: u32,
+    deliveries: u32,
     /// A failure of a target, to be passed on if nothing better comes.
-    spare: Option<(StatusCode, HeaderMap, Bytes)>,
-    pub(crate) tracked: Option<InFlightGuard>,
+    fallback: Option<(StatusCode, HeaderMap, Bytes)>,
+    pub(crate) in_flight: Option<InFlightGuard>,
     /// Ms spent on waiting for adapters to be placed.
-    pub(crate) stall: u64,
+    pub(crate) load_wait_ms: u64,
     /// Ms from arrival to the first event.
-    pub(crate) first: u64,
+    pub(crate) first_event_ms: u64,
     /// Set while it is tried though it is held back.
     trial: Option<Trial>,
     /// Whether its end is logged, or another job goes on with it.
-    pub(crate) ended: bool,
+    pub(crate) finished: bool,
 }
 
 /// A request that is dropped has lost its caller. Without a line of its own
 /// it would be missing from every account of what became of the requests.
-impl Drop for Job {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        if !self.ended {
-            let held = self.node.now().saturating_sub(self.began);
+        if !self.finished {
+            let held = self.node.now().saturating_sub(self.began_ms);
             self.node.metrics.request(self.route.kind, "caller_left");
-            log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, held, stall = self.stall, first = self.first, sends = self.verdict.sends; "caller left");
+            log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, held, stall = self.load_wait_ms, first = self.first_event_ms, sends = self.verdict.sends; "caller left");
         }
     }
 }
@@ -154,46 +154,46 @@
     /// half of it can be neither undone nor repeated.
     pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
         let tracked = self.track();
-        let Some(config) = self.config().filter(|_| self.life_known()) else {
-            let basis = Basis::of(&self.view().records.in_force, self.now());
-            log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.uptime_ms(); "refused: nothing is known yet");
+        let Some(config) = self.config().filter(|_| self.has_started()) else {
+            let basis = SettingsBasis::of(&self.view().records.in_force, self.now());
+            log::info!(target: "serve", id:% = ask.id, row = basis.version, newer = basis.newer_version, away = basis.outage_ms, up = self.uptime_ms(); "refused: nothing is known yet");
             return Reply::NotReady {
-                retry_ms: NOT_READY_MS,
+                retry_ms: NOT_READY_RETRY_MS,
             };
         };
         let (route, caller) = match caller::admit(self, &config, &ask) {
             Ok(found) => found,
-            Err(why) => return self.turn_away(&ask, config.version, why),
+            Err(why) => return self.reject(&ask, config.version, why),
         };
-        let Some(mut job) = Job::new(self, &config, ask, route, caller) else {
+        let Some(mut request) = ActiveRequest::new(self, &config, ask, route, caller) else {
             return Reply::NoRoute;
         };
-        if !stop::takes(self, job.limit) {
-            job.ended = true;
-            log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name; "refused: the stop is near its end");
+        if !stop::takes(self, request.deadline_ms) {
+            request.finished = true;
+            log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name; "refused: the stop is near its end");
             return Reply::NotReady {
-                retry_ms: NOT_READY_MS,
+                retry_ms: NOT_READY_RETRY_MS,
             };
         }
-        job.tracked = Some(tracked);
-        if let Some(reply) = job.take_credit(&config).await {
+        request.in_flight = Some(tracked);
+        if let Some(reply) = request.reserve_credit(&config).await {
             return reply;
         }
-        match job.route.kind {
-            Kind::Unsafe => match tokio::spawn(job.run()).await {
+        match request.route.kind {
+            Kind::Unsafe => match tokio::spawn(request.run()).await {
                 Ok(reply) => reply,
                 Err(_) => Reply::Unanswered(Answer::Unknown),
             },
-            Kind::Safe | Kind::Stream => job.run().await,
+            Kind::Safe | Kind::Stream => request.run().await,
         }
     }
 
-    fn life_known(&self) -> bool {
+    fn has_started(&self) -> bool {
         self.life.stage() != comfreyhall_life::Stage::Starting
     }
 }
 
-impl Job {
+impl ActiveRequest {
     fn new(
         node: &Arc<Node>,
         config: &Config,
@@ -211,30 +211,30 @@
             .min(route.timeout_ms);
         Some(Self {
             node: node.clone(),
-            limit: began + left,
-            need: Arc::new(Need::of(&ask)),
+            deadline_ms: began + left,
+            requirements: Arc::new(Requirements::of(&ask)),
             fingerprint: OnceLock::new(),
             ask: Arc::new(ask),
             rank: node.view().ranks.of_call(&caller, &route),
             route,
             caller,
-            config: config.version,
+            config_version: config.version,
             credit: None,
             service,
             engine,
-            began,
-            draw,
+            began_ms: began,
+            seed: draw,
             tried: Vec::new(),
-            closed: Vec::new(),
-            full: 0,
+            unavailable: Vec::new(),
+            full_refusals: 0,
             verdict: Verdict::default(),
-            arrivals: 0,
-            spare: None,
-            tracked: None,
-            stall: 0,
-            first: 0,
+            deliveries: 0,
+            fallback: None,
+            in_flight: None,
+            load_wait_ms: 0,
+            first_event_ms: 0,
             trial: None,
-            ended: false,
+            finished: false,
         })
     }
 
@@ -243,48 +243,55 @@
         self.ask.adapter.as_ref().map_or("".into(), key_of)
     }
 
-    pub(crate) fn left(&self) -> u64 {
-        self.limit.saturating_sub(self.node.now())
+    pub(crate) fn remaining_ms(&self) -> u64 {
+        self.deadline_ms.saturating_sub(self.node.now())
     }
 
     async fn run(mut self) -> Reply {
-        self.count();
+        self.record_request();
         // Whether a holder said that the wait in its group would be too long.
         let mut too_long = false;
-        for round in 0..ROUNDS {
-            if self.left() == 0 {
+        for round in 0..MAX_ROUNDS {
+            if self.remaining_ms() == 0 {
                 return self.give_up("time is up", 0.0);
             }
-            if let Some(retry_ms) = self.held_back().await {
-                return self.hold_back(retry_ms);
+            if let Some(retry_ms) = self.quarantined_ms().await {
+                return self.reject_quarantined(retry_ms);
             }
-            if !self.still_welcome() {
-                return self.unwelcome();
+            if !self.key_still_valid() {
+                return self.reject_revoked_key();
             }
             let Some(mut plan) = self.choose() else {
-                if let Some(ms) = self.shut_ms().filter(|ms| *ms > self.hold_left()) {
-                    self.tell_shut();
+                if let Some(ms) = self
+                    .all_unavailable_ms()
+                    .filter(|ms| *ms > self.hold_left_ms())
+                {
+                    self.log_unavailable();
                     return self.give_up("its targets take no more now", ms as f64);
                 }
-                if self.held_long() || self.full >= FULL_TIMES {
-                    return self.give_up("no target can take it", FULL_MS as f64);
+                if self.hold_expired() || self.full_refusals >= MAX_FULL_REFUSALS {
+                    return self.give_up("no target can take it", FULL_RETRY_MS as f64);
                 }
-                let pause = if self.full > 0 { FULL_MS } else { LOOK_MS };
+                let pause = if self.full_refusals > 0 {
+                    FULL_RETRY_MS
+                } else {
+                    RECHECK_MS
+                };
                 tokio::time::sleep(Duration::from_millis(pause)).await;
-                self.closed.clear();
+                self.unavailable.clear();
                 continue;
             };
             let new = round == 0 || too_long;
-            if new && self.node.policies().admission && self.refuses(plan.wait_ms) {
+            if new && self.node.policies().admission && self.wait_too_long(plan.wait_ms) {
                 return self.give_up("the wait is too long", plan.wait_ms / 2.0);
             }
             match self.bind(&mut plan).await {
-                Found::Engine => {}
-                Found::None if self.held_long() => {
+                BindOutcome::Engine => {}
+                BindOutcome::None if self.hold_expired() => {
                     return self.give_up("its adapter has no place", plan.wait_ms);
                 }
-                Found::None => continue,
-                Found::TooLong(ms) => {
+                BindOutcome::None => continue,
+                BindOutcome::TooLong(ms) => {
                     too_long = true;
                     if self.choose().is_none() {
                         return self.give_up("the wait is too long", ms as f64 / 2.0);
@@ -295,48 +302,53 @@
             let Some(permit) = self.permit(&plan).await else {
                 continue;
             };
-            if !self.still_ready(&plan) {
+            if !self.target_still_accepts(&plan) {
                 continue;
             }
-            if let Some(retry_ms) = self.held_back().await {
-                return self.hold_back(retry_ms);
+            if let Some(retry_ms) = self.quarantined_ms().await {
+                return self.reject_quarantined(retry_ms);
             }
-            if !self.still_welcome() {
-                return self.unwelcome();
+            if !self.key_still_valid() {
+                return self.reject_revoked_key();
             }
-            if self.arrivals > 0 && !self.repeat() {
+            if self.deliveries > 0 && !self.take_retry() {
                 return self.give_up("the retry budget is spent", plan.wait_ms);
             }
             let last_event = self.ask.last_event;
             match self.send(&mut plan, permit, last_event).await {
-                Ok((response, flight)) => match self.answer(response, flight, plan).await {
+                Ok((response, send)) => match self.handle_response(response, send, plan).await {
                     Next::Reply(reply) => return reply,
-                    Next::Again => self = self.next_draw(),
+                    Next::Retry => self = self.next_seed(),
                 },
-                Err(()) => self = self.next_draw(),
+                Err(()) => self = self.next_seed(),
             }
             if !self.verdict.may_send(self.route.repeatable(), u32::MAX) {
                 return self.give_up("it may have run", 0.0);
             }
-            if self.exhausted() {
-                let excess = self.route.target_ms as f64 * SPENT_PART;
+            if self.attempts_exhausted() {
+                let excess = self.route.target_ms as f64 * EXHAUSTED_RETRY_SHARE;
                 return self.give_up("every send it may have is spent", excess);
             }
         }
         self.give_up("no target took it", 0.0)
     }
 
-    fn next_draw(mut self) -> Self {
-        self.draw = self
-            .draw
+    fn next_seed(mut self) -> Self {
+        self.seed = self
+            .seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
         self
     }
 
     /// Whether a wait of `wait_ms` would be too long for it.
-    fn refuses(&self, wait_ms: f64) -> bool {
-        admission::refuse(wait_ms, self.left(), self.route.target_ms, self.rank)
+    fn wait_too_long(&self, wait_ms: f64) -> bool {
+        admission::refuse(
+            wait_ms,
+            self.remaining_ms(),
+            self.route.target_ms,
+            self.rank,
+        )
     }
 
     /// Whether it may only go where it was sent before.
@@ -345,27 +357,27 @@
     }
 
     /// Whether all targets it may be sent to have had it in doubt.
-    fn exhausted(&self) -> bool {
+    fn attempts_exhausted(&self) -> bool {
         self.verdict.doubt && self.only_tried()
     }
 
     /// Whether too much of its time went by without a send.
-    fn held_long(&self) -> bool {
-        self.node.now() > self.hold_end()
+    fn hold_expired(&self) -> bool {
+        self.node.now() > self.hold_end_ms()
     }
 
     /// Ms for which it may still be held without a send.
-    fn hold_left(&self) -> u64 {
-        self.hold_end().saturating_sub(self.node.now())
+    fn hold_left_ms(&self) -> u64 {
+        self.hold_end_ms().saturating_sub(self.node.now())
     }
 
-    fn hold_end(&self) -> u64 {
-        let most = admission::hold_ms(self.limit - self.began, self.route.target_ms);
-        self.began + most
+    fn hold_end_ms(&self) -> u64 {
+        let hold_ms = admission::hold_ms(self.deadline_ms - self.began_ms, self.route.target_ms);
+        self.began_ms + hold_ms
     }
 
     /// Counts the request for budgets and demand.
-    fn count(&self) {
+    fn record_request(&self) {
         let now = self.node.now();
         let bounds = self.node.settings().bounds.clone();
         let mut view = self.node.view();
@@ -386,7 +398,7 @@
     }
 
     /// Takes a repeat out of the budget.
-    fn repeat(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let now = self.node.now();
         let daemons = self.node.fleet.size(now);
         let mut view = self.node.view();
@@ -398,46 +410,46 @@
     }
 
     fn choose(&self) -> Option<Plan> {
-        let wish = Wish {
-            need: &self.need,
-            aim_ms: self.route.target_ms,
+        let criteria = Criteria {
+            requirements: &self.requirements,
+            objective_ms: self.route.target_ms,
             service: &self.service,
             group: None,
             engine: self.engine.as_ref(),
             tried: &self.tried,
-            closed: &self.closed,
+            unavailable: &self.unavailable,
             only_tried: self.only_tried(),
-            draw: self.draw,
+            seed: self.seed,
         };
-        choose::choose(&self.node, &wish)
+        choose::choose(&self.node, &criteria)
     }
 
     /// A target's failure that was kept in case nothing better came.
-    fn spare_reply(&mut self, why: &'static str) -> Option<Reply> {
-        let (status, headers, body) = self.spare.take()?;
+    fn fallback_reply(&mut self, why: &'static str) -> Option<Reply> {
+        let (status, headers, body) = self.fallback.take()?;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why; "passed on a target's failure");
-        Some(whole(status, headers, body))
+        Some(complete_reply(status, headers, body))
     }
 
     /// When its caller should come back, in ms, if there is room for it after
     /// `excess_ms`.
-    fn retry_ms(&self, excess_ms: f64) -> u64 {
+    fn retry_after_ms(&self, excess_ms: f64) -> u64 {
         let draw: u64 = rand::rng().random();
-        admission::retry_ms(excess_ms, self.left(), draw)
+        admission::retry_ms(excess_ms, self.remaining_ms(), draw)
     }
 
     /// The final answer, at once.
     fn give_up(&mut self, why: &'static str, excess_ms: f64) -> Reply {
-        self.ended = true;
-        self.give_credit_back();
+        self.finished = true;
+        self.return_credit();
         self.node.metrics.refusal(why);
-        if let Some(reply) = self.spare_reply(why) {
+        if let Some(reply) = self.fallback_reply(why) {
             return reply;
         }
-        let left = self.left();
-        let retry = self.retry_ms(excess_ms);
+        let left = self.remaining_ms();
+        let retry = self.retry_after_ms(excess_ms);
         let answer = answer_for(&self.verdict, left == 0, retry);
-        let held = self.node.now() - self.began;
+        let held = self.node.now() - self.began_ms;
         self.node.metrics.request(self.route.kind, answer.name());
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, answer:? = answer, sends = self.verdict.sends, held, left; "given up");
         Reply::Unanswered(answer)
@@ -446,7 +458,7 @@
 
 /// A target's own answer. A failure whose status would promise "not run"
 /// without the target's proof is passed on as one that promises nothing.
-fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
+fn complete_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
     let promises = [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -5,16 +5,16 @@
 use comfreyhall_domain::{AdapterRef, Name};
 use comfreyhall_routing::Standing;
 
-use super::{Job, LOOK_MS, send::UNREACHED_MS};
+use super::{ActiveRequest, RECHECK_MS, send::UNREACHABLE_MS};
 use crate::{
-    bind::{self, Bind, Bound, Unbound},
+    bind::{self, BindError, BindParams, Binding},
     choose::Plan,
     fleet::key_of,
-    flight::Seat,
+    flight::RunHandle,
 };
 
 /// What came of looking for an engine.
-pub(super) enum Found {
+pub(super) enum BindOutcome {
     /// The plan has an engine that can take the request.
     Engine,
     /// None in that group can now; others may.
@@ -23,13 +23,13 @@
     TooLong(u64),
 }
 
-impl Job {
+impl ActiveRequest {
     /// Whether the target still takes work.
     ///
     /// What goes wrong without it: a request waits seconds for its adapter,
     /// its target says meanwhile that it leaves, and gets the request long
     /// after the bound for new work at leaving targets.
-    pub(super) fn still_ready(&self, plan: &Plan) -> bool {
+    pub(super) fn target_still_accepts(&self, plan: &Plan) -> bool {
         let now = self.node.now();
         let view = self.node.view();
         let known = view.targets.get(&plan.target.id);
@@ -38,66 +38,66 @@
 
     /// Has the holder of the planned group choose the engine, which becomes
     /// the plan's target.
-    pub(super) async fn bind(&mut self, plan: &mut Plan) -> Found {
+    pub(super) async fn bind(&mut self, plan: &mut Plan) -> BindOutcome {
         let Some(adapter) = self.ask.adapter.clone().filter(|_| self.engine.is_some()) else {
-            return Found::Engine;
+            return BindOutcome::Engine;
         };
-        if !self.node.policies().binding && !plan.loads {
-            return Found::Engine;
+        if !self.node.policies().binding && !plan.needs_load {
+            return BindOutcome::Engine;
         }
         let began = self.node.now();
         let run = self.node.fleet.next_run();
-        let mut found = bind::bind(&self.node, self.wanted(plan, run, plan.loads)).await;
-        if found == Err(Unbound::MustWait) {
-            found = bind::bind(&self.node, self.wanted(plan, run, true)).await;
+        let mut found = bind::bind(&self.node, self.bind_params(plan, run, plan.needs_load)).await;
+        if found == Err(BindError::LoadRequired) {
+            found = bind::bind(&self.node, self.bind_params(plan, run, true)).await;
         }
         let stall = self.node.now() - began;
-        if plan.loads {
-            self.stall += stall;
+        if plan.needs_load {
+            self.load_wait_ms += stall;
             self.node.metrics.stall(stall);
         }
         match found {
-            Ok(bound) => self.bound(plan, &adapter, run, bound, stall),
+            Ok(bound) => self.apply_binding(plan, &adapter, run, bound, stall),
             // The holder is left out now; what needs no load needs no holder.
-            Err(Unbound::Unanswered) if !plan.loads => Found::Engine,
-            Err(Unbound::TooLong(ms)) => {
-                self.close_group(&plan.target.domain);
-                Found::TooLong(ms)
+            Err(BindError::NoAnswer) if !plan.needs_load => BindOutcome::Engine,
+            Err(BindError::TooLong(ms)) => {
+                self.exclude_group(&plan.target.domain);
+                BindOutcome::TooLong(ms)
             }
             Err(why) => {
-                self.unplaced(plan, &adapter, why).await;
-                Found::None
+                self.handle_unplaced(plan, &adapter, why).await;
+                BindOutcome::None
             }
         }
     }
 
-    fn wanted(&self, plan: &Plan, run: u64, may_wait: bool) -> Bind {
-        Bind {
+    fn bind_params(&self, plan: &Plan, run: u64, may_wait: bool) -> BindParams {
+        BindParams {
             run,
             group: plan.target.domain.clone(),
             service: self.service.clone(),
-            need: self.need.clone(),
-            version: plan.version,
+            requirements: self.requirements.clone(),
+            version: plan.min_version,
             priority: self.rank,
             aim_ms: self.route.target_ms,
-            spent_ms: self.node.now() - self.began,
-            left_ms: self.left(),
+            spent_ms: self.node.now() - self.began_ms,
+            left_ms: self.remaining_ms(),
             tried: self.tried.clone(),
-            closed: self.closed.clone(),
+            closed: self.unavailable.clone(),
             only_tried: self.only_tried(),
             may_wait,
         }
     }
 
     /// Goes on at the engine that the holder chose, if it is known here.
-    fn bound(
+    fn apply_binding(
         &self,
         plan: &mut Plan,
         adapter: &AdapterRef,
         run: u64,
-        bound: Bound,
+        bound: Binding,
         ms: u64,
-    ) -> Found {
+    ) -> BindOutcome {
         log::debug!(target: "serve", id:% = self.ask.id, target_id:% = bound.target, version = bound.version, wait = bound.wait_ms, ms; "engine found");
         let now = self.node.now();
         let mut view = self.node.view();
@@ -110,31 +110,31 @@
         }
         let Some(target) = view.targets.get(&bound.target).cloned() else {
             log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
-            return Found::None;
+            return BindOutcome::None;
         };
         drop(view);
-        plan.tokens = bound.unread;
+        plan.unread_tokens = bound.unread;
         plan.wait_ms = bound.wait_ms as f64;
         plan.granted = bound.granted;
-        plan.seat = Some(Seat::new(&self.node, run, target.clone()));
+        plan.run_handle = Some(RunHandle::new(&self.node, run, target.clone()));
         plan.target = target;
-        Found::Engine
+        BindOutcome::Engine
     }
 
     /// Takes no engine of `group` for this request.
-    fn close_group(&mut self, group: &str) {
+    fn exclude_group(&mut self, group: &str) {
         let view = self.node.view();
         let engines = view.targets.values().filter(|t| *t.domain == *group);
         let engines: Vec<Name> = engines.map(|t| t.id.clone()).collect();
         drop(view);
-        self.closed.extend(engines);
+        self.unavailable.extend(engines);
     }
 
-    async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
+    async fn handle_unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: BindError) {
         log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = key_of(adapter), why:%; "no engine found");
-        self.close_group(&plan.target.domain);
-        if let Unbound::Unplaced { gone, .. } = why {
-            let until = self.node.now() + UNREACHED_MS;
+        self.exclude_group(&plan.target.domain);
+        if let BindError::NoEngine { gone, .. } = why {
+            let until = self.node.now() + UNREACHABLE_MS;
             for target in gone {
                 // Every other request would ask for a place there too.
                 self.node.view().unavailable_until.insert(target, until);
@@ -142,8 +142,8 @@
         }
         // All were closed: begin again rather than give up early.
         if self.choose().is_none() {
-            self.closed.clear();
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            self.unavailable.clear();
+            tokio::time::sleep(Duration::from_millis(RECHECK_MS)).await;
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -8,51 +8,51 @@
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
 
-use super::{Job, Reply, place::Found, whole};
+use super::{ActiveRequest, Reply, complete_reply, place::BindOutcome};
 use crate::{
     choose::{self, Plan},
-    flight::{Flight, Seat},
+    flight::{ActiveSend, RunHandle},
     outbound::{self, Permit, UnavailableTargets},
     ports::{Body, BodyError, Response, SendError, SendOptions},
     relay::Relay,
 };
 
 /// A target that could not be reached is left out this long, in ms.
-pub(super) const UNREACHED_MS: u64 = 700;
+pub(super) const UNREACHABLE_MS: u64 = 700;
 
 /// Least ms after which a missing first event is taken for a mute target,
 /// and how many times the estimate: the estimate errs by a prompt or two, and
 /// the longest prompts take over a second. A target left too early reads the
 /// prompt for nothing, and one of two sends is spent.
-const PATIENCE_MS: u64 = 1_200;
+const MIN_FIRST_EVENT_MS: u64 = 1_200;
 
-const PATIENCE_TIMES: f64 = 2.5;
+const FIRST_EVENT_FACTOR: f64 = 2.5;
 
 /// How much a failure proves about a target, against an answer's 1.
 const FAILED_WEIGHT: f64 = 1.0;
 
-const UNREACHED_WEIGHT: f64 = 2.0;
+const UNREACHABLE_WEIGHT: f64 = 2.0;
 
 /// Targets that are looked at for the rest of a stream, at most: its caller's
 /// pause grows with each.
-const CHOICES: u32 = 3;
+const MAX_RESUME_CHOICES: u32 = 3;
 
 /// What the next step is after a send.
 pub(super) enum Next {
     Reply(Reply),
-    Again,
+    Retry,
 }
 
-impl Job {
+impl ActiveRequest {
     /// How long a first event may stay away before another target is tried.
-    pub(super) fn patience(&self, plan: &Plan) -> u64 {
+    pub(super) fn first_event_timeout_ms(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
         let mute = self.node.policies().patience;
         if !mute || !choose::repeatable(&self.route) || tries >= self.route.attempts {
-            return self.left();
+            return self.remaining_ms();
         }
-        let patience = PATIENCE_MS + (plan.wait_ms * PATIENCE_TIMES) as u64;
-        patience.min(self.left())
+        let patience = MIN_FIRST_EVENT_MS + (plan.wait_ms * FIRST_EVENT_FACTOR) as u64;
+        patience.min(self.remaining_ms())
     }
 
     /// That it may be sent to the plan's target now; a target that takes nothing
@@ -62,14 +62,14 @@
             Ok(permit) => Some(permit),
             Err(closed) => {
                 log::debug!(target: "serve", id:% = self.ask.id, target_id:% = plan.target.id, why = closed.why, retry_ms = closed.retry_ms; "not sent");
-                self.closed.push(plan.target.id.clone());
+                self.unavailable.push(plan.target.id.clone());
                 None
             }
         }
     }
 
     /// Ms until one of its targets may take something, if none does now.
-    pub(super) fn shut_ms(&self) -> Option<u64> {
+    pub(super) fn all_unavailable_ms(&self) -> Option<u64> {
         let now = self.node.now();
         let unavailable = UnavailableTargets::current(&self.node, now);
         let ready = self.node.view().ready_targets(&self.service, now);
@@ -77,9 +77,9 @@
     }
 
     /// One line on why none of its targets takes anything, but for a flood of them.
-    pub(super) fn tell_shut(&self) {
+    pub(super) fn log_unavailable(&self) {
         let now = self.node.now();
-        let Some(left_out) = self.node.log_limits.shut.take(now) else {
+        let Some(left_out) = self.node.log_limits.unavailable.admit(now) else {
             return;
         };
         let ready = self.node.view().ready_targets(&self.service, now);
@@ -93,10 +93,10 @@
         plan: &mut Plan,
         permit: Permit,
         last_event: Option<u64>,
-    ) -> Result<(Response, Flight), ()> {
+    ) -> Result<(Response, ActiveSend), ()> {
         let options = SendOptions {
-            timeout_ms: self.left(),
-            required_version: plan.expect,
+            timeout_ms: self.remaining_ms(),
+            required_version: plan.required_version,
             priority: self.rank,
             workspace: self.caller.workspace().map(|w| w.name.clone()),
             last_event,
@@ -105,39 +105,45 @@
             credit.sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
-        let seat = self.seat(plan);
-        let flight = Flight::begin(&self.node, &plan.target, adapter, plan.tokens, seat);
-        let patience = Duration::from_millis(self.patience(plan));
+        let run_handle = self.run_handle(plan);
+        let send = ActiveSend::begin(
+            &self.node,
+            &plan.target,
+            adapter,
+            plan.unread_tokens,
+            run_handle,
+        );
+        let patience = Duration::from_millis(self.first_event_timeout_ms(plan));
         let ask = self.ask.clone();
         match outbound::send(&self.node, &plan.target, permit, ask, options, patience).await {
             Ok(response) => {
-                self.arrive(&plan.target.id);
-                Ok((response, flight))
+                self.mark_delivered(&plan.target.id);
+                Ok((response, send))
             }
             Err(SendError::NotSent(why)) => {
                 self.verdict.add(Outcome::NotSent);
-                flight.note(false, UNREACHED_WEIGHT);
-                let until = self.node.now() + UNREACHED_MS;
+                send.record_outcome(false, UNREACHABLE_WEIGHT);
+                let until = self.node.now() + UNREACHABLE_MS;
                 self.node
                     .view()
                     .unavailable_until
                     .insert(plan.target.id.clone(), until);
-                self.tell(&plan.target.id, "not sent", &why);
+                self.log_send(&plan.target.id, "not sent", &why);
                 Err(())
             }
             Err(SendError::ConnectionClosed(why)) => {
-                self.arrive(&plan.target.id);
+                self.mark_delivered(&plan.target.id);
                 self.verdict.add(Outcome::Doubt);
-                flight.note(false, FAILED_WEIGHT);
-                self.broke(&flight);
-                self.tell(&plan.target.id, "in doubt", &why);
+                send.record_outcome(false, FAILED_WEIGHT);
+                self.report_closed(&send);
+                self.log_send(&plan.target.id, "in doubt", &why);
                 Err(())
             }
             Err(SendError::Indeterminate(why)) => {
-                self.arrive(&plan.target.id);
+                self.mark_delivered(&plan.target.id);
                 self.verdict.add(Outcome::Doubt);
-                flight.note(false, FAILED_WEIGHT);
-                self.tell(&plan.target.id, "in doubt", &why);
+                send.record_outcome(false, FAILED_WEIGHT);
+                self.log_send(&plan.target.id, "in doubt", &why);
                 Err(())
             }
         }
@@ -145,99 +151,99 @@
 
     /// What the run of this send is told under: the holder's, or one of its
     /// own if it goes there unasked; none at a target that is no engine.
-    fn seat(&self, plan: &mut Plan) -> Option<Seat> {
+    fn run_handle(&self, plan: &mut Plan) -> Option<RunHandle> {
         let own = || {
             let run = self.node.fleet.next_run();
-            Seat::new(&self.node, run, plan.target.clone())
+            RunHandle::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
-        Some(plan.seat.take().unwrap_or_else(own))
+        Some(plan.run_handle.take().unwrap_or_else(own))
     }
 
-    pub(super) fn arrive(&mut self, target: &Name) {
-        self.arrivals += 1;
+    pub(super) fn mark_delivered(&mut self, target: &Name) {
+        self.deliveries += 1;
         if !self.tried.contains(target) {
             self.tried.push(target.clone());
         }
     }
 
-    pub(super) fn tell(&self, target: &Name, outcome: &'static str, why: &str) {
+    pub(super) fn log_send(&self, target: &Name, outcome: &'static str, why: &str) {
         self.node.metrics.send(outcome);
-        let left = self.left();
+        let left = self.remaining_ms();
         let fingerprint = self.fingerprint();
-        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, target_id:% = target, outcome, why, left, config = self.config; "send");
+        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, target_id:% = target, outcome, why, left, config = self.config_version; "send");
     }
 
     /// Turns a target's answer into the caller's, or decides to go on.
-    pub(super) async fn answer(
+    pub(super) async fn handle_response(
         &mut self,
         response: Response,
-        mut flight: Flight,
+        mut send: ActiveSend,
         plan: Plan,
     ) -> Next {
         if let Some(refusal) = response.refusal {
-            self.refused(refusal, &flight, &plan);
-            return Next::Again;
+            self.handle_refusal(refusal, &send, &plan);
+            return Next::Retry;
         }
         if response.status.is_success() && !response.verified {
             self.verdict.add(Outcome::Doubt);
-            flight.note(false, FAILED_WEIGHT);
-            self.tell(&flight.target, "in doubt", "the answer is not a target's");
-            return Next::Again;
+            send.record_outcome(false, FAILED_WEIGHT);
+            self.log_send(&send.target, "in doubt", "the answer is not a target's");
+            return Next::Retry;
         }
         if response.status.is_success() && response.event_stream {
-            return self.relay(response, flight, plan).await;
+            return self.relay(response, send, plan).await;
         }
         let (status, headers) = (response.status, response.headers);
-        let left = Duration::from_millis(self.left());
+        let left = Duration::from_millis(self.remaining_ms());
         let body = tokio::time::timeout(left, collect(response.body)).await;
         match body {
             Ok(Ok(body)) => {
-                flight.first();
-                self.whole(status, headers, body, flight)
+                send.record_first_event();
+                self.handle_complete(status, headers, body, send)
             }
             broken => {
                 let why = match broken {
                     Ok(Err(broken)) => {
                         if broken.connection_closed {
-                            self.broke(&flight);
+                            self.report_closed(&send);
                         }
                         broken.reason
                     }
                     _ => "its time is up".to_string(),
                 };
                 self.verdict.add(Outcome::Broken);
-                flight.note(false, FAILED_WEIGHT);
-                self.tell(&flight.target, "broken off", &why);
-                Next::Again
+                send.record_outcome(false, FAILED_WEIGHT);
+                self.log_send(&send.target, "broken off", &why);
+                Next::Retry
             }
         }
     }
 
-    pub(super) fn refused(&mut self, refusal: Refusal, flight: &Flight, plan: &Plan) {
+    pub(super) fn handle_refusal(&mut self, refusal: Refusal, send: &ActiveSend, plan: &Plan) {
         self.verdict.add(Outcome::Refused(refusal));
         let now = self.node.now();
-        let target = &flight.target;
+        let target = &send.target;
         match (refusal, &self.ask.adapter) {
             (Refusal::Elsewhere, Some(adapter)) => {
                 let mut view = self.node.view();
                 view.residency.note(adapter, target, Standing::Absent, now);
             }
             (Refusal::Elsewhere, None) => {
-                let until = now + UNREACHED_MS;
+                let until = now + UNREACHABLE_MS;
                 self.node
                     .view()
                     .unavailable_until
                     .insert(target.clone(), until);
             }
             (Refusal::Full, _) => {
-                self.full += 1;
-                self.closed.push(target.clone());
-                flight.note(false, FAILED_WEIGHT);
+                self.full_refusals += 1;
+                self.unavailable.push(target.clone());
+                send.record_outcome(false, FAILED_WEIGHT);
             }
-            _ => flight.note(false, FAILED_WEIGHT),
+            _ => send.record_outcome(false, FAILED_WEIGHT),
         }
-        self.tell(
+        self.log_send(
             target,
             "refused",
             match refusal {
@@ -246,14 +252,17 @@
                 Refusal::Other => "for a reason of its own",
             },
         );
-        log::debug!(target: "serve", id:% = self.ask.id, expect:? = plan.expect, load = plan.loads; "refused send");
+        log::debug!(target: "serve", id:% = self.ask.id, expect:? = plan.required_version, load = plan.needs_load; "refused send");
     }
 
-    pub(super) async fn relay(&mut self, response: Response, flight: Flight, plan: Plan) -> Next {
+    pub(super) async fn relay(&mut self, response: Response, send: ActiveSend, plan: Plan) -> Next {
         let (status, headers) = (response.status, response.headers);
-        let patience = self.patience(&plan).saturating_sub(flight.took()).max(1);
-        let mut relay = Relay::new(response.body, flight, self.ask.last_event);
-        let first = relay.first(Duration::from_millis(patience)).await;
+        let patience = self
+            .first_event_timeout_ms(&plan)
+            .saturating_sub(send.elapsed_ms())
+            .max(1);
+        let mut relay = Relay::new(response.body, send, self.ask.last_event);
+        let first = relay.first_event(Duration::from_millis(patience)).await;
         match first {
             Ok(()) => {
                 if let Some(adapter) = &self.ask.adapter {
@@ -262,9 +271,9 @@
                     let target = &plan.target.id;
                     view.prefixes.note(adapter, &self.ask.parts, target, now);
                 }
-                let job = self.take();
-                self.node.metrics.first(job.first);
-                let body = relay.run(job);
+                let request = self.detach();
+                self.node.metrics.first(request.first_event_ms);
+                let body = relay.run(request);
                 Next::Reply(Reply::Stream {
                     status,
                     headers,
@@ -272,102 +281,106 @@
                 })
             }
             Err(why) => {
-                if relay.closed {
-                    self.broke(&relay.flight);
+                if relay.connection_closed {
+                    self.report_closed(&relay.send);
                 }
                 self.verdict.add(Outcome::Broken);
-                relay.flight.note(false, FAILED_WEIGHT);
-                self.tell(&plan.target.id, "broken off before its first event", &why);
-                Next::Again
+                relay.send.record_outcome(false, FAILED_WEIGHT);
+                self.log_send(&plan.target.id, "broken off before its first event", &why);
+                Next::Retry
             }
         }
     }
 
     /// Moves the request into its stream.
-    pub(super) fn take(&mut self) -> Job {
-        self.ended = true;
-        Job {
+    pub(super) fn detach(&mut self) -> ActiveRequest {
+        self.finished = true;
+        ActiveRequest {
             node: self.node.clone(),
             ask: self.ask.clone(),
-            need: self.need.clone(),
+            requirements: self.requirements.clone(),
             fingerprint: self.fingerprint.clone(),
             route: self.route.clone(),
             caller: self.caller.clone(),
             rank: self.rank,
-            config: self.config,
+            config_version: self.config_version,
             credit: self.credit.take(),
             service: self.service.clone(),
             engine: self.engine.clone(),
-            began: self.began,
-            limit: self.limit,
-            draw: self.draw,
+            began_ms: self.began_ms,
+            deadline_ms: self.deadline_ms,
+            seed: self.seed,
             tried: self.tried.clone(),
-            closed: Vec::new(),
-            full: self.full,
+            unavailable: Vec::new(),
+            full_refusals: self.full_refusals,
             verdict: self.verdict,
-            arrivals: self.arrivals,
-            spare: None,
-            tracked: self.tracked.take(),
-            stall: self.stall,
-            first: self.node.now() - self.began,
+            deliveries: self.deliveries,
+            fallback: None,
+            in_flight: self.in_flight.take(),
+            load_wait_ms: self.load_wait_ms,
+            first_event_ms: self.node.now() - self.began_ms,
             trial: self.trial.take(),
-            ended: false,
+            finished: false,
         }
     }
 
     /// A whole answer came.
-    pub(super) fn whole(
+    pub(super) fn handle_complete(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
-        flight: Flight,
+        send: ActiveSend,
     ) -> Next {
         let now = self.node.now();
         let ok = !status.is_server_error();
-        flight.note(ok, FAILED_WEIGHT);
+        send.record_outcome(ok, FAILED_WEIGHT);
         if ok {
-            let took = flight.took();
-            self.node.view().board.learn_took(&flight.target, took);
+            let took = send.elapsed_ms();
+            self.node.view().board.learn_took(&send.target, took);
         }
         self.verdict.add(Outcome::Answered);
-        self.ran_whole();
-        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = flight.target, status = status.as_u16(), ms = now - self.began, aim = self.route.target_ms, sends = self.verdict.sends; "answered");
+        self.report_completed();
+        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = send.target, status = status.as_u16(), ms = now - self.began_ms, aim = self.route.target_ms, sends = self.verdict.sends; "answered");
         self.node
             .metrics
             .request(self.route.kind, if ok { "answered" } else { "failed" });
         let again = self.route.kind == Kind::Safe
             && !ok
             && (self.tried.len() as u32) < self.route.attempts
-            && self.left() > self.route.target_ms / 4;
+            && self.remaining_ms() > self.route.target_ms / 4;
         if again {
-            self.spare = Some((status, headers, body));
-            return Next::Again;
+            self.fallback = Some((status, headers, body));
+            return Next::Retry;
         }
-        self.ended = true;
-        Next::Reply(whole(status, headers, body))
+        self.finished = true;
+        Next::Reply(complete_reply(status, headers, body))
     }
 
     /// Chooses a target for the rest of a stream that broke off.
-    pub(crate) async fn again(
+    pub(crate) async fn resume_elsewhere(
         &mut self,
         last_event: Option<u64>,
-    ) -> Result<(Response, Flight), ()> {
+    ) -> Result<(Response, ActiveSend), ()> {
         let may = self.verdict.may_send(self.route.repeatable(), u32::MAX)
             && (self.tried.len() as u32) < self.route.attempts;
-        if !may || self.left() == 0 || self.held_back().await.is_some() || !self.repeat() {
+        if !may
+            || self.remaining_ms() == 0
+            || self.quarantined_ms().await.is_some()
+            || !self.take_retry()
+        {
             return Err(());
         }
-        for _ in 0..CHOICES {
+        for _ in 0..MAX_RESUME_CHOICES {
             let mut plan = self.choose().ok_or(())?;
-            if !matches!(self.bind(&mut plan).await, Found::Engine) {
+            if !matches!(self.bind(&mut plan).await, BindOutcome::Engine) {
                 return Err(());
             }
             let Some(permit) = self.permit(&plan).await else {
                 continue;
             };
-            let held_back = self.held_back().await.is_some();
-            if held_back || !self.still_ready(&plan) || !self.still_welcome() {
+            let quarantined = self.quarantined_ms().await.is_some();
+            if quarantined || !self.target_still_accepts(&plan) || !self.key_still_valid() {
                 return Err(());
             }
             return self.send(&mut plan, permit, last_event).await;
--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -3,25 +3,25 @@
 use comfreyhall_domain::AdapterRef;
 
 use crate::{
-    events::Events,
+    events::EventSplitter,
     leases::{Held, Leases},
     node::View,
 };
 
 #[test]
 fn next_whole_events_only() {
-    let mut e = Events::default();
+    let mut e = EventSplitter::default();
     e.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(e.next().unwrap().id, Some(1));
     assert!(e.next().is_none());
-    assert!(e.partial());
+    assert!(e.has_partial());
     e.push(b"ta: b\n");
     assert!(e.next().is_none());
     e.push(b"\n");
     let event = e.next().unwrap();
     assert_eq!(event.id, Some(2));
     assert_eq!(&event.bytes[..], b"id: 2\ndata: b\n\n");
-    assert!(!e.partial());
+    assert!(!e.has_partial());
 }
 
 /// A lease as the store last showed it.
