--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -1,4 +1,4 @@
-//! The holder's choice among its engines.
+//! The lease holder's choice among its engines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,31 +16,38 @@
     outbound,
 };
 
-/// How long a request waits for a place in one group of engines before it
-/// looks again, in ms: another group may be freer by then.
+/// How long a request waits for a slot in one group of engines before it
+/// chooses again, in ms: another group may have one by then.
 const SLOT_WAIT_MS: u64 = 250;
 
-/// The engine for a run of this daemon or of another.
+/// Binds a run of this daemon or of a peer to an engine.
 pub(super) async fn bind(node: &Arc<Node>, params: BindParams) -> Result<Binding, BindError> {
     let engine = engine_of(node, &params.service);
     let engine = engine.ok_or_else(|| BindError::no_engine("the service has no engines"))?;
-    note(node, &params);
+    record_demand(node, &params);
     let plan = choose(node, &params, &engine);
     let plan = plan.ok_or_else(|| BindError::no_engine("no engine of the group can take it"))?;
     let first = params.tried.is_empty() && node.policies().admission;
-    if first && admission::refuse(plan.wait_ms, params.left_ms, params.aim_ms, params.priority) {
+    if first
+        && admission::refuse(
+            plan.wait_ms,
+            params.remaining_ms,
+            params.objective_ms,
+            params.priority,
+        )
+    {
         return Err(BindError::TooLong(plan.wait_ms as u64));
     }
     if !plan.needs_load {
         let target = &plan.target.id;
-        return bound(node, &params, target, plan.min_version, plan.wait_ms);
+        return binding(node, &params, target, plan.min_version, plan.wait_ms);
     }
     if !params.may_wait {
         return Err(BindError::LoadRequired);
     }
-    let placed = place(node, &params, &plan).await?;
-    // The load is done; the prompt is still to be read.
-    bound(node, &params, &placed.target, placed.version, 0.0)
+    let placed = load_adapter(node, &params, &plan).await?;
+    // The load is done; the prompt is still to be prefilled.
+    binding(node, &params, &placed.target, placed.version, 0.0)
 }
 
 fn engine_of(node: &Node, service: &Name) -> Option<Engine> {
@@ -48,8 +55,8 @@
     config.services.get(service)?.engine.clone()
 }
 
-/// Counts the request, and notes whether its adapter is hot.
-fn note(node: &Node, params: &BindParams) {
+/// Counts the request, and marks its adapter as hot if it is requested often.
+fn record_demand(node: &Node, params: &BindParams) {
     let Some(adapter) = params
         .requirements
         .adapter
@@ -69,21 +76,21 @@
 fn choose(node: &Node, params: &BindParams, engine: &Engine) -> Option<Plan> {
     let criteria = Criteria {
         requirements: &params.requirements,
-        objective_ms: params.aim_ms,
+        objective_ms: params.objective_ms,
         service: &params.service,
         group: Some(&params.group),
         engine: Some(engine),
         tried: &params.tried,
-        unavailable: &params.closed,
+        unavailable: &params.unavailable,
         only_tried: params.only_tried,
         seed: params.run,
     };
     choose::choose(node, &criteria)
 }
 
-/// The answer, with the prompt noted as read there: whoever shares a part of
-/// it and comes next is queued behind it.
-fn bound(
+/// The binding. Notes the prompt as cached there, so that the next request with
+/// the same prefix queues behind this one.
+fn binding(
     node: &Node,
     params: &BindParams,
     target: &Name,
@@ -104,36 +111,42 @@
     Ok(Binding {
         target: target.clone(),
         version,
-        unread,
+        unread_tokens: unread,
         wait_ms: wait_ms as u64,
         hot,
         granted,
     })
 }
 
-/// Has the adapter placed on one of the plan's engines.
-async fn place(node: &Arc<Node>, params: &BindParams, plan: &Plan) -> Result<Placed, BindError> {
+/// Has the adapter loaded on one of the plan's engines.
+async fn load_adapter(
+    node: &Arc<Node>,
+    params: &BindParams,
+    plan: &Plan,
+) -> Result<Placed, BindError> {
     let Some(adapter) = params.requirements.adapter.clone() else {
         return Err(BindError::no_engine("no engine holds the model"));
     };
-    let limit = params.limit_ms();
-    // After the load the prompt is still to be read.
-    let after = plan.wait_ms as u64;
-    let wish = keeper::Wish {
+    let limit_ms = params.limit_ms();
+    // After the load the prompt is still to be prefilled.
+    let prefill_ms = plan.wait_ms as u64;
+    let request = keeper::Wish {
         adapter: adapter.clone(),
         picks: plan.candidates.clone(),
         version: plan.min_version,
         priority: u32::from(params.priority),
-        aim_ms: params.aim_ms.saturating_sub(params.spent_ms + after),
-        begin: Duration::from_millis(limit.min(SLOT_WAIT_MS)),
-        limit: Duration::from_millis(limit),
+        aim_ms: params
+            .objective_ms
+            .saturating_sub(params.elapsed_ms + prefill_ms),
+        begin: Duration::from_millis(limit_ms.min(SLOT_WAIT_MS)),
+        limit: Duration::from_millis(limit_ms),
     };
-    // Others count on the place that this request is about to hold.
-    let waits = PendingLoad::begin(node, &plan.target.id, &adapter, plan.unread_tokens);
-    let placed = keeper::ensure(node, wish).await;
-    drop(waits);
+    // Shows other requests the slot that this one is about to take.
+    let pending = PendingLoad::begin(node, &plan.target.id, &adapter, plan.unread_tokens);
+    let placed = keeper::ensure(node, request).await;
+    drop(pending);
     placed.map_err(|e| BindError::NoEngine {
-        why: e.why,
+        reason: e.why,
         gone: e.gone,
     })
 }
--- a/crates/comfreyhall-node/src/bind/mod.rs
+++ b/crates/comfreyhall-node/src/bind/mod.rs
@@ -1,16 +1,16 @@
-//! Finding an engine for a run: the holder of a group's lease chooses.
+//! Binds runs to engines: the holder of a group's lease chooses the engine.
 //!
-//! What goes wrong without it: each of 195 daemons sees one request in two
-//! hundred and hears of the others a second late, so engines that look idle
-//! get several prompts at once while others wait, places are counted on that
-//! are taken, and one request in six is sent to an engine that refuses it.
-//! The holder gives the orders for its engines and is told of every run there
-//! when it begins, is read and ends, so it knows what is on their tables as
-//! they do. A daemon chooses the group, by sums that may be old, and asks the
-//! group's holder for the engine.
+//! A daemon on its own chooses badly: each of 195 daemons sees one request in
+//! two hundred and learns of the others a second late. Engines that look idle
+//! then receive several prompts at once while others wait, slots that look free
+//! are taken, and one request in six is sent to an engine that refuses it. The
+//! lease holder sends the commands to its engines and is notified when each run
+//! there begins, is prefilled and ends, so its view of them is current. A
+//! daemon chooses the group by totals that may be stale, and asks the group's
+//! lease holder for the engine.
 //!
-//! A holder that does not answer is done without: the daemon sends to the
-//! engine that it takes for the best one itself, if no load has to come first.
+//! If the holder does not answer, the daemon sends to the engine that it
+//! considers best itself, provided that no load has to come first.
 
 mod here;
 mod wire;
@@ -22,15 +22,15 @@
 pub(crate) use self::wire::answer;
 use crate::{choose::Requirements, node::Node};
 
-/// Longest a holder's answer is waited for if no load has to come first, in
-/// ms: it takes some ms, and some tens on a busy core. A request that has
-/// waited this long still meets an objective of a second.
+/// Timeout of a holder's answer if no load has to come first, in ms: it takes a
+/// few ms, and some tens of ms on a busy core. A request that has waited this
+/// long still meets an objective of a second.
 const ANSWER_TIMEOUT_MS: u64 = 120;
 
-/// Time for the answer to come back after the longest wait for a load, in ms.
+/// Time for the answer to return after the longest wait for a load, in ms.
 const RETURN_ALLOWANCE_MS: u64 = 30;
 
-/// One request that wants an engine of a group.
+/// One request that needs an engine of a group.
 #[derive(Debug, Clone)]
 pub(crate) struct BindParams {
     /// Number of the run.
@@ -38,30 +38,30 @@
     pub(crate) group: Name,
     pub(crate) service: Name,
     pub(crate) requirements: Arc<Requirements>,
-    /// Least version that will do; 0 for any.
-    pub(crate) version: u64,
-    /// Rank of its route; 0 is first.
+    /// Minimum version of the adapter; 0 for any.
+    pub(crate) min_version: u64,
+    /// Priority of its route; 0 is the most urgent.
     pub(crate) priority: u8,
     /// Latency objective of its route, in ms.
-    pub(crate) aim_ms: u64,
+    pub(crate) objective_ms: u64,
     /// Ms since it arrived.
-    pub(crate) spent_ms: u64,
-    /// Ms that its caller still waits.
-    pub(crate) left_ms: u64,
-    /// Engines it was sent to.
+    pub(crate) elapsed_ms: u64,
+    /// Ms until its deadline.
+    pub(crate) remaining_ms: u64,
+    /// Engines that have already received it.
     pub(crate) tried: Vec<Name>,
     /// Engines that cannot take it now.
-    pub(crate) closed: Vec<Name>,
-    /// Whether it may only go to engines it was sent to.
+    pub(crate) unavailable: Vec<Name>,
+    /// Whether only engines in `tried` may be used.
     pub(crate) only_tried: bool,
-    /// Whether it waits for a load; else it wants an answer at once.
+    /// Whether it waits for a load; otherwise it expects an answer at once.
     pub(crate) may_wait: bool,
 }
 
 impl BindParams {
-    /// Longest it waits for its adapter, in ms.
+    /// Longest wait for its adapter, in ms.
     fn limit_ms(&self) -> u64 {
-        self.left_ms.min(self.aim_ms) + 1
+        self.remaining_ms.min(self.objective_ms) + 1
     }
 }
 
@@ -71,12 +71,12 @@
     pub(crate) target: Name,
     /// The adapter's version there.
     pub(crate) version: u64,
-    /// Prompt tokens that it has to read there.
-    pub(crate) unread: u64,
+    /// Prompt tokens to prefill there.
+    pub(crate) unread_tokens: u64,
     /// Ms to the first token that the holder expects.
     pub(crate) wait_ms: u64,
-    /// Whether the adapter is asked for so often that each failure domain is
-    /// to have engines of its own for it.
+    /// Whether the adapter is requested so often that each failure domain should
+    /// have engines of its own for it.
     pub(crate) hot: bool,
     /// Whether the holder has granted it a part of the engine's limit.
     pub(crate) granted: bool,
@@ -85,35 +85,36 @@
 /// Why a run has no engine.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BindError {
-    /// The holder does not answer, or is none any more; nothing is known.
+    /// The holder does not answer, or no longer holds the lease; nothing is
+    /// known.
     #[error("the holder does not answer")]
     NoAnswer,
-    /// A load has to come first, and the request did not want to wait for one.
+    /// A load has to come first, and the request did not wait for one.
     #[error("a load has to come first")]
     LoadRequired,
-    /// Its wait would be too long.
+    /// Its wait would be too long, in ms.
     #[error("the wait would be {0} ms")]
     TooLong(u64),
     /// No engine of the group can take it now.
-    #[error("{why}")]
+    #[error("{reason}")]
     NoEngine {
         /// Why none can.
-        why: String,
-        /// Engines that take no orders: they are gone, or another boot.
+        reason: String,
+        /// Engines that take no commands: they are gone, or have restarted.
         gone: Vec<Name>,
     },
 }
 
 impl BindError {
-    fn no_engine(why: &str) -> Self {
+    fn no_engine(reason: &str) -> Self {
         BindError::NoEngine {
-            why: why.to_string(),
+            reason: reason.to_string(),
             gone: Vec::new(),
         }
     }
 }
 
-/// The engine for a run, chosen by the holder of its group's lease.
+/// Binds a run to an engine chosen by the holder of its group's lease.
 pub(crate) async fn bind(node: &Arc<Node>, params: BindParams) -> Result<Binding, BindError> {
     if node.token(&params.group).is_some() {
         return here::bind(node, params).await;
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -1,4 +1,4 @@
-//! Asking for an engine, as messages between daemons.
+//! Messages between daemons for binding runs.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{BindError, BindParams, Binding, here};
 use crate::{choose::Requirements, fleet::Run, node::Node};
 
-/// The message of the daemon at `from`.
+/// The request that the daemon at `from` sends.
 pub(super) fn ask(from: &str, params: &BindParams) -> BindRequest {
     let requirements = &params.requirements;
     let adapter = requirements.adapter.as_ref();
@@ -25,16 +25,16 @@
         service: params.service.to_string(),
         model: adapter.map_or("", |a| &*a.model).to_string(),
         adapter: name.unwrap_or("").to_string(),
-        version: params.version,
+        version: params.min_version,
         prompt_tokens: requirements.tokens.map_or(0, |t| t.prompt),
         output_tokens: requirements.tokens.map_or(0, |t| t.output),
         parts: parts.collect(),
         priority: u32::from(params.priority),
-        aim_ms: params.aim_ms,
-        spent_ms: params.spent_ms,
-        left_ms: params.left_ms,
+        aim_ms: params.objective_ms,
+        spent_ms: params.elapsed_ms,
+        left_ms: params.remaining_ms,
         tried: names(&params.tried),
-        closed: names(&params.closed),
+        closed: names(&params.unavailable),
         only_tried: params.only_tried,
         may_wait: params.may_wait,
     }
@@ -62,19 +62,19 @@
         group: message.group.as_str().into(),
         service: message.service.as_str().into(),
         requirements: Arc::new(requirements),
-        version: message.version,
+        min_version: message.version,
         priority: u8::try_from(message.priority).unwrap_or(u8::MAX),
-        aim_ms: message.aim_ms,
-        spent_ms: message.spent_ms,
-        left_ms: message.left_ms,
+        objective_ms: message.aim_ms,
+        elapsed_ms: message.spent_ms,
+        remaining_ms: message.left_ms,
         tried: names(&message.tried),
-        closed: names(&message.closed),
+        unavailable: names(&message.closed),
         only_tried: message.only_tried,
         may_wait: message.may_wait,
     }
 }
 
-/// Answers another daemon that wants an engine of a group held here.
+/// Answers a peer that needs an engine of a group held here.
 pub(crate) async fn answer(node: &Arc<Node>, message: BindRequest) -> BindReply {
     let params = from_wire(&message);
     let adapter = params
@@ -87,25 +87,26 @@
         return refusal(BindError::no_engine("this daemon does not hold the lease"));
     }
     match here::bind(node, params).await {
-        Ok(bound) => {
+        Ok(binding) => {
             let now = node.now();
-            let ahead = node.view().board.work(&bound.target, now).prefill + bound.unread;
+            let ahead =
+                node.view().board.work(&binding.target, now).prefill + binding.unread_tokens;
             let counted = Run {
-                target: bound.target.clone(),
+                target: binding.target.clone(),
                 group,
                 adapter,
-                unread: bound.unread,
+                unread: binding.unread_tokens,
                 ahead,
                 bound: now,
             };
             node.fleet.bound(node, &message.from, run, counted);
             BindReply {
-                target: bound.target.to_string(),
-                version: bound.version,
-                unread: bound.unread,
-                wait_ms: bound.wait_ms,
-                hot: bound.hot,
-                granted: bound.granted,
+                target: binding.target.to_string(),
+                version: binding.version,
+                unread: binding.unread_tokens,
+                wait_ms: binding.wait_ms,
+                hot: binding.hot,
+                granted: binding.granted,
                 ..BindReply::default()
             }
         }
@@ -133,13 +134,13 @@
     reply
 }
 
-/// What a holder's answer says.
+/// Decodes a holder's answer.
 pub(super) fn reply(reply: BindReply) -> Result<Binding, BindError> {
     if !reply.target.is_empty() {
         return Ok(Binding {
             target: reply.target.into(),
             version: reply.version,
-            unread: reply.unread,
+            unread_tokens: reply.unread,
             wait_ms: reply.wait_ms,
             hot: reply.hot,
             granted: reply.granted,
@@ -152,7 +153,7 @@
         return Err(BindError::TooLong(reply.wait_ms));
     }
     Err(BindError::NoEngine {
-        why: reply.error,
+        reason: reply.error,
         gone: reply.gone.into_iter().map(Name::from).collect(),
     })
 }
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -1,4 +1,4 @@
-//! Gathers the choices for one request from the view.
+//! Chooses the target of one request from what this daemon knows.
 
 use std::sync::Arc;
 
@@ -16,56 +16,57 @@
     outbound::{self, UnavailableTargets},
 };
 
-/// How long after a version of an adapter was named the one before still
-/// serves, as part of the bound: replacements are on their way meanwhile.
+/// Divisor of the version bound: how long after a new version of an adapter was
+/// named the previous one still serves, while replacements are loaded.
 const VERSION_GRACE_DIVISOR: u64 = 2;
 
-/// What running on a version that is about to be replaced costs, in ms. The
-/// replacement waits for its runs, and requests that come meanwhile are
-/// refused there: unless it is much sooner, the new version is loaded beside.
+/// Cost of running on a version that is about to be replaced, in ms. The
+/// replacement waits for the runs in progress, and requests that arrive
+/// meanwhile are refused there; so the new version is loaded elsewhere unless
+/// the old one is much sooner.
 const OUTDATED_COST_MS: f64 = 250.0;
 
-/// How requests spread in a large fleet, in ms: about the prompt of one
-/// request, which is what a daemon that hears of the others twice a second
-/// may miss.
+/// Width within which requests spread in a large fleet, in ms: about one
+/// prompt, which is what a daemon that receives gossip twice a second may not
+/// know of.
 const STALE_SPREAD_MS: f64 = 150.0;
 
-/// Homes beyond the targets that hold an adapter to which it may be loaded,
-/// at least: as many as hold it already, so that the copies of an adapter
-/// that has become hot double in the time of a load.
-/// With one, an adapter waits for that engine however long its queue is; with
-/// many it comes to engines that did not have it lately, from the weight store.
+/// Minimum number of engines to which an adapter may be loaded, beyond those
+/// that hold it. Otherwise as many as hold it already, so that the copies of an
+/// adapter that has become hot double within the time of a load. With 1, an
+/// adapter waits for that engine however long its queue is; with many, it is
+/// loaded from the weight store to engines that have not cached it.
 const MIN_NEW_HOMES: usize = 2;
 
-/// Engines that share a wish for an adapter, at most. A dozen of them have a
-/// place every 30 ms with all in use; with every engine of a group of 31 in
-/// each wish, its holder spent its core on looking through wishes, and left
-/// half of them unseen until their time was up.
+/// Maximum number of engines that share a placement request. A dozen of them
+/// free a slot every 30 ms when all are in use. With every engine of a group of
+/// 31 in each request, the lease holder spent its core on scanning placement
+/// requests, and half of them expired unseen.
 const MAX_CANDIDATES: usize = 12;
 
-/// What an engine of another failure domain costs for a hot adapter, in ms:
-/// each domain has engines of its own for it. Daemons hear of the queues
-/// elsewhere a second late, and without this the callers of all domains meet
-/// at the engines that had it first.
+/// Cost of an engine in another failure domain for a hot adapter, in ms: each
+/// domain has engines of its own for it. Daemons learn of remote queues a
+/// second late, and without this cost the callers of all domains converge on
+/// the engines that had the adapter first.
 const REMOTE_DOMAIN_COST_MS: f64 = 150.0;
 
-/// Wait for a place where all are in use, in ms: a request holds its place
-/// for about a second, and several of them end in that time.
+/// Expected wait for a slot where all are in use, in ms: a request holds its
+/// slot for about a second, and several of them end in that time.
 const FULL_ENGINE_WAIT_MS: f64 = 250.0;
 
-/// What a request asks of an engine.
+/// What a request needs from an engine.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Requirements {
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
-    /// Size of the generation.
+    /// Prompt and output tokens.
     pub(crate) tokens: Option<Tokens>,
     /// Parts of the prompt in order.
     pub(crate) parts: Vec<Part>,
 }
 
 impl Requirements {
-    /// What `ask` asks of an engine.
+    /// The requirements of `ask`.
     pub(crate) fn of(ask: &Ask) -> Self {
         Self {
             adapter: ask.adapter.clone(),
@@ -78,7 +79,7 @@
         self.tokens.map_or(0, |t| u64::from(t.prompt))
     }
 
-    /// Prompt tokens that no other request shares.
+    /// Prompt tokens that are not shared with other requests.
     fn own_tokens(&self) -> u64 {
         let shared = self.parts.iter().rev().skip(1);
         let shared: u64 = shared.map(|p| u64::from(p.tokens)).sum();
@@ -86,42 +87,42 @@
     }
 }
 
-/// Where a request goes.
+/// The chosen target of a request, and what is expected there.
 pub(crate) struct Plan {
     pub(crate) target: Arc<Target>,
-    /// Prompt tokens to read there.
+    /// Prompt tokens to prefill there.
     pub(crate) unread_tokens: u64,
-    /// Least version that will do; 0 for any.
+    /// Minimum version of the adapter; 0 for any.
     pub(crate) min_version: u64,
-    /// Version to insist on.
+    /// Version that the target must have to run it.
     pub(crate) required_version: Option<u64>,
-    /// Estimated ms to the first token, the load included.
+    /// Estimated ms to the first token, including the load.
     pub(crate) wait_ms: f64,
     /// Whether the adapter has to be loaded first.
     pub(crate) needs_load: bool,
-    /// Engines that may load it, the target first, for the holder.
+    /// Engines that may load it, best first, for the lease holder.
     pub(crate) candidates: Vec<Pick>,
-    /// The run that a holder has bound to the target.
+    /// The run that the lease holder has bound to the target.
     pub(crate) run_handle: Option<RunHandle>,
-    /// Whether the holder has granted it a part of the target's limit.
+    /// Whether the lease holder has granted it a part of the target's limit.
     pub(crate) granted: bool,
 }
 
-/// What a choice is made for.
+/// The input of a choice.
 pub(crate) struct Criteria<'a> {
     pub(crate) requirements: &'a Requirements,
     /// Latency objective of its route, in ms.
     pub(crate) objective_ms: u64,
     pub(crate) service: &'a Name,
-    /// Group whose engines alone come into question: the caller holds its
-    /// lease and knows of every run there.
+    /// Restricts the choice to the engines of this group, whose lease this daemon
+    /// holds and of which it knows every run.
     pub(crate) group: Option<&'a str>,
     pub(crate) engine: Option<&'a Engine>,
-    /// Targets it was sent to.
+    /// Targets that have already received it.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
     pub(crate) unavailable: &'a [Name],
-    /// Whether only targets tried before may be used.
+    /// Whether only targets in `tried` may be used.
     pub(crate) only_tried: bool,
     pub(crate) seed: u64,
 }
@@ -134,7 +135,7 @@
     }
 }
 
-/// The target for a request; `None` if none can take it now.
+/// Chooses the target of a request; `None` if none can take it now.
 pub(crate) fn choose(node: &Node, criteria: &Criteria<'_>) -> Option<Plan> {
     let now = node.now();
     let settings = node.settings();
@@ -225,7 +226,7 @@
         .collect()
 }
 
-/// The least version of `adapter` that may still serve.
+/// The minimum version of `adapter` that may still serve.
 fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
     let grace = node.settings().bounds.version_ms / VERSION_GRACE_DIVISOR;
     let named = view.named_versions.get(adapter);
@@ -233,7 +234,7 @@
     due.map_or(0, |n| n.version)
 }
 
-/// Prompt tokens that `target` has not read yet.
+/// Prompt tokens that `target` has not cached.
 pub(crate) fn unread(view: &View, requirements: &Requirements, target: &Name) -> u64 {
     let Some(adapter) = &requirements.adapter else {
         return 0;
@@ -246,15 +247,15 @@
 struct EngineNeeds<'a> {
     adapter: &'a AdapterRef,
     engine: &'a Engine,
-    /// Least version that will do; 0 for any.
+    /// Minimum version of the adapter; 0 for any.
     version: u64,
 }
 
 /// Engines for a request.
 struct EngineChoices {
-    /// Those that it may choose from.
+    /// Engines to choose from.
     open: Vec<Choice>,
-    /// All that lack its adapter and may load it.
+    /// All engines that lack its adapter and may load it.
     loaders: Vec<Choice>,
 }
 
@@ -328,7 +329,7 @@
         }
         let recent = view.residency.recent(adapter, &t.id, now);
         choice.load_ms = node.controllers.load_ms(recent);
-        // A copy of a hot adapter serves many, not one request.
+        // A copy of a hot adapter serves many requests, not one.
         choice.stored = !recent && !hot && policies.spare_store;
         choice.evicts =
             policies.spare_places && !hot && view.residency.count(&t.id) >= engine.places;
@@ -338,8 +339,8 @@
         if full {
             choice.load_ms += FULL_ENGINE_WAIT_MS;
         }
-        // What was held lately is loaded fastest, whatever its rank; a home
-        // without a free place comes after those with one.
+        // An engine that has the adapter cached loads it fastest, whatever its
+        // rank; a home without a free slot comes after those with one.
         let rank = if recent {
             0
         } else {
@@ -358,7 +359,7 @@
     EngineChoices { open: out, loaders }
 }
 
-/// The price of place-time where this daemon knows all runs.
+/// The price of slot time, if this daemon knows all runs.
 fn prices(
     node: &Node,
     view: &View,
@@ -381,7 +382,7 @@
     ))
 }
 
-/// Whether a stalled send may be abandoned for another.
+/// Whether a hung send may be abandoned for another.
 pub(crate) fn repeatable(route: &Route) -> bool {
     route.repeatable() && route.attempts > 1 && route.kind != Kind::Unsafe
 }
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls, whether that still holds, and whether it may use more.
+//! Authentication, key revocation and workspace quotas of one request.
 
 use comfreyhall_domain::{Allowance, Answer, Ask, Caller, Config, Route, answer_for};
 use comfreyhall_inforce::{InForce, Taken, Verdict};
@@ -9,26 +9,26 @@
     node::Node,
 };
 
-/// When a caller whose workspace may use nothing should come back, in ms: its
-/// cap has to be written anew first.
+/// Retry delay for a caller whose workspace may use nothing, in ms: only a new
+/// quota in the settings changes that.
 const CLOSED_QUOTA_RETRY_MS: u64 = 3_000;
 
-/// Why a request is not taken.
+/// Why a request is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Rejection {
-    /// No route covers it.
+    /// No route matches it.
     NoRoute,
-    /// Its key belongs to nobody.
+    /// Its key belongs to no workspace.
     UnknownKey,
-    /// Newer settings may be in force that have its route, or its key.
+    /// Settings newer than the local ones may contain its route or its key.
     Unconfirmed,
 }
 
-/// The route of `ask` and who calls, by `config`.
+/// Finds the route of `ask` and identifies its caller by `config`.
 pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Rejection> {
     let path = ask.message.path.split('?').next().unwrap_or("");
     let Some(route) = config.route(&ask.host, path) else {
-        // The route may have been added where this daemon could not hear of it.
+        // The route may be in settings that have not reached this daemon yet.
         return Err(match node.settings_may_lag() {
             true => Rejection::Unconfirmed,
             false => Rejection::NoRoute,
@@ -39,26 +39,26 @@
     }
     match config.caller(route, ask.key.as_ref()) {
         Some(caller) => Ok((route.clone(), caller)),
-        // A caller does not come back after the final answer, and the key may
-        // have been given out a moment ago.
+        // A caller does not retry after a final answer, but its key may have been
+        // issued a moment ago.
         None if ask.key.is_some() && node.settings_may_lag() => Err(Rejection::Unconfirmed),
         None => Err(Rejection::UnknownKey),
     }
 }
 
-/// What a request was judged by, for the log; times in ms.
+/// The state of the settings that a decision was based on, for the log.
 pub(super) struct SettingsBasis {
-    /// Version of the newest row of the settings.
+    /// Version of the newest settings row.
     pub(super) version: u64,
-    /// Who told of it: the store or a daemon's id.
+    /// Where it came from: the store or a daemon's id.
     pub(super) source: String,
-    /// Since when it is known.
+    /// Ms since this daemon received it.
     pub(super) known_ms: u64,
-    /// Since when the store has said so.
+    /// Ms since the store last confirmed the settings.
     pub(super) age_ms: u64,
-    /// A newer version that was heard of; 0 for none.
+    /// A newer version reported by peers; 0 for none.
     pub(super) newer_version: u64,
-    /// Since when the store has not answered; 0 if it answers.
+    /// Ms since the store stopped answering; 0 if it answers.
     pub(super) outage_ms: u64,
 }
 
@@ -78,15 +78,15 @@
 }
 
 impl Node {
-    /// Whether settings newer than those in force here may have been accepted
-    /// for longer than their bound.
+    /// Whether settings newer than the active ones may have been accepted longer
+    /// ago than `apply_ms` allows.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
         let verdict = self.view().records.in_force.verdict(self.now(), bound);
         verdict == Verdict::Stale
     }
 
-    /// Whether no key counts any more, since it may have been taken back.
+    /// Whether all keys have expired, because a revocation may have been missed.
     fn keys_expired(&self) -> bool {
         let Some(max_age_ms) = self.settings().bounds.revoke_ms else {
             return false;
@@ -95,8 +95,7 @@
         self.view().records.in_force.age(now) > max_age_ms
     }
 
-    /// The answer to a request that is not taken; one line for each, but for a
-    /// flood of them.
+    /// Answers a request that is not admitted and logs it, rate limited.
     pub(super) fn reject(&self, ask: &Ask, config: u64, why: Rejection) -> Reply {
         let (reply, refusal) = match why {
             Rejection::NoRoute => (Reply::NoRoute, "no route"),
@@ -116,7 +115,7 @@
 }
 
 impl ActiveRequest {
-    /// Takes credit for the request, if its workspace has a cap.
+    /// Reserves credit for the request if its workspace has a quota.
     pub(super) async fn reserve_credit(&mut self, config: &Config) -> Option<Reply> {
         let workspace = self.caller.workspace()?.clone();
         let cap = match workspace.allowance {
@@ -144,7 +143,7 @@
         }
     }
 
-    /// The final answer to a request without credit, at once.
+    /// The final answer to a request that got no credit.
     fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
         self.finished = true;
         let now = self.node.now();
@@ -164,7 +163,7 @@
         if let Some(left_out) = self.node.log_limits.over_quota.admit(now) {
             let basis = self.node.quotas.basis(&workspace, now);
             let home = basis.home.as_deref().unwrap_or("");
-            // Whole units a second, and per cent.
+            // Whole units per second, and percent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
             let (held, lends) = (basis.held as u64, (basis.part * 100.0) as u64);
             log::info!(target: "caps", id:% = self.ask.id, route:% = self.route.name, workspace, size, why = reason, cap, lent, lends, home, age = basis.age_ms, held, demand, retry_ms, left_out; "refused");
@@ -174,8 +173,9 @@
 
     /// Whether its key still belongs to its workspace.
     ///
-    /// What goes wrong without it: a request waits for a place while its key is
-    /// taken back, and is sent seconds after everybody has been told.
+    /// Checked again before each send: a request may wait for an adapter slot
+    /// while its key is revoked, and would be sent seconds after every daemon has
+    /// learned of it.
     pub(super) fn key_still_valid(&self) -> bool {
         let Some(config) = self.node.config() else {
             return false;
@@ -194,7 +194,7 @@
         found.is_some_and(|w| w.name == known.name)
     }
 
-    /// The final answer to a request whose key was taken back meanwhile.
+    /// The final answer to a request whose key was revoked after admission.
     pub(super) fn reject_revoked_key(&mut self) -> Reply {
         let why = "its key was taken back";
         self.finished = true;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Its credit goes back if it has surely not run.
+    /// Returns its credit if it has certainly not run.
     pub(super) fn return_credit(&mut self) {
         if let Some(credit) = self.credit.take()
             && !self.verdict.doubt
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -1,4 +1,4 @@
-//! Which request an attempt is one of, and whether that may be sent.
+//! Request fingerprints and the quarantine check before each send.
 
 use comfreyhall_domain::{Ask, Caller, answer_held};
 use comfreyhall_quarantine::Fingerprint;
@@ -9,10 +9,9 @@
     quarantine::{self, Admission},
 };
 
-/// The identity of `ask` of `caller` over all attempts: its workspace and the
-/// host it calls, what it calls, and its body. Ids, time limits and hints differ
-/// from attempt to attempt, and other headers are the caller's own to change, so
-/// all are left out.
+/// The identity of a request over all its attempts: workspace, host, method,
+/// path and body. Ids, timeouts and hints differ between attempts, and a caller
+/// can change other headers at will, so none of them are included.
 fn fingerprint_of(ask: &Ask, caller: &Caller) -> Fingerprint {
     Fingerprint::of([
         ask.host.as_bytes(),
@@ -24,31 +23,31 @@
 }
 
 impl ActiveRequest {
-    /// Its identity over all attempts. Computed when first asked for: most
-    /// requests are never compared with another.
+    /// Its identity over all attempts. Computed on first use: most requests are
+    /// never compared with another.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self
             .fingerprint
             .get_or_init(|| fingerprint_of(&self.ask, &self.caller))
     }
 
-    /// The target closed the connection of the run `flight`.
+    /// Reports that the target closed the connection while it ran `send`.
     pub(crate) fn report_closed(&self, send: &ActiveSend) {
         let target = &send.target;
         quarantine::broke(&self.node, target, self.fingerprint(), send.ran_briefly());
     }
 
-    /// A target ran it to its end.
+    /// Reports that a target ran it to the end.
     pub(crate) fn report_completed(&self) {
         if !self.node.quarantine.is_empty() {
             quarantine::ran_whole(&self.node, self.fingerprint());
         }
     }
 
-    /// When its caller may come back, in ms, if it is held back.
+    /// When its caller may retry, in ms, if the request is quarantined.
     ///
-    /// Looked at before each send: a request may wait for seconds in between,
-    /// and what the others find meanwhile counts.
+    /// Checked before each send: a request may wait for seconds in between, and
+    /// evidence from other daemons that arrives meanwhile counts.
     pub(super) async fn quarantined_ms(&mut self) -> Option<u64> {
         if self.node.quarantine.is_empty() {
             return None;
@@ -58,7 +57,7 @@
             self.node.quarantine.settled(&self.node, &fingerprint).await;
         }
         if self.trial.is_some() {
-            // A trial is one send.
+            // A trial allows one send.
             let sent = self.verdict.sends > 0;
             return sent.then_some(quarantine::TRIED_MS);
         }
@@ -73,7 +72,7 @@
         }
     }
 
-    /// The final answer to a request that is held back, at once.
+    /// The final answer to a quarantined request.
     pub(super) fn reject_quarantined(&mut self, retry_ms: u64) -> Reply {
         let why = "targets ended under it";
         self.finished = true;
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -1,8 +1,9 @@
-//! Serving one request: route, admit, place, send, and answer.
+//! Serves one request: routing, admission, placement, sending and the answer.
 //!
 //! A request is sent to one target after another until one answers, its
-//! time is up, or what is known forbids another send; then [`answer_for`]
-//! alone chooses the answer. A request given up on is answered at once.
+//! deadline passes, or the known outcomes forbid another send; then only
+//! [`answer_for`] chooses the answer. A request that fails early is answered at
+//! once.
 
 mod caller;
 mod hold;
@@ -35,109 +36,109 @@
     stop,
 };
 
-/// Sends and looks for a place in one request at most: a guard against
-/// going round in circles, above what the time of a request allows.
+/// Upper bound on rounds of placement and sending per request: a guard against
+/// endless loops, above what the timeout of a request allows.
 const MAX_ROUNDS: u32 = 40;
 
-/// When a caller whose sends are all spent should come back, as a part of the
-/// route's objective: the targets that failed it are then known to be ill.
+/// Retry delay when all attempts are used up, as a share of the route's latency
+/// objective: by then the targets that failed are known to be unhealthy.
 const EXHAUSTED_RETRY_SHARE: f64 = 0.5;
 
-/// Pause before a target that was full is asked again, in ms: queues there
-/// move on by a prompt in that time, and an adapter that is being replaced is
-/// back. Asked again at once, some were asked every 7 ms, which spent the
-/// budget that all repeats share.
+/// Pause before a full target is asked again, in ms: in that time its queue
+/// advances by one prompt, and an adapter that is being replaced is available
+/// again. Without a pause some targets were asked every 7 ms, which used up the
+/// shared retry budget.
 const FULL_RETRY_MS: u64 = 100;
 
-/// Times that targets may be full before the request is given up.
+/// Refusals by full targets after which the request fails.
 const MAX_FULL_REFUSALS: u32 = 3;
 
-/// Pause before looking again when no target can take a request, in ms.
+/// Pause before choosing again when no target can take a request, in ms.
 const RECHECK_MS: u64 = 25;
 
-/// A stream of whole events; an error means that it breaks off.
+/// A stream of whole events; an error means that it was interrupted.
 pub type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, String>> + Send>>;
 
 /// The answer to a caller.
 pub enum Reply {
-    /// No configuration is known yet, or a stop is near its end.
+    /// No configuration is known yet, or the daemon is about to stop.
     NotReady {
-        /// When to come back, in ms.
+        /// When to retry, in ms.
         retry_ms: u64,
     },
-    /// No route covers the request.
+    /// No route matches the request.
     NoRoute,
-    /// The caller's key belongs to nobody: the request has not run and never
-    /// will.
+    /// The caller's key belongs to no workspace: the request has not run and
+    /// never will.
     UnknownKey,
     /// No target answered.
     Unanswered(Answer),
-    /// A target's whole answer.
+    /// A target's complete answer.
     Complete {
-        /// Its status.
+        /// Status code.
         status: StatusCode,
-        /// Its headers.
+        /// End-to-end headers.
         headers: HeaderMap,
-        /// Its body.
+        /// Complete body.
         body: Bytes,
     },
-    /// A target's stream.
+    /// A target's event stream.
     Stream {
-        /// Its status.
+        /// Status code.
         status: StatusCode,
-        /// Its headers.
+        /// End-to-end headers.
         headers: HeaderMap,
-        /// Its events.
+        /// The events.
         body: EventStream,
     },
 }
 
-/// When to come back to a daemon that is not ready, in ms.
+/// Retry delay for callers of a daemon that is not ready, in ms.
 const NOT_READY_RETRY_MS: u64 = 300;
 
-/// One request on its way.
+/// One request in progress.
 pub(crate) struct ActiveRequest {
     pub(crate) node: Arc<Node>,
     pub(crate) ask: Arc<Ask>,
     requirements: Arc<Requirements>,
-    /// Its identity over all attempts, once it was needed.
+    /// Its identity over all attempts, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
     pub(crate) route: Route,
     caller: Caller,
-    /// Order among requests; 0 is first.
+    /// Priority among requests; 0 is the most urgent.
     rank: u8,
-    /// Version of the configuration that let it in.
+    /// Version of the configuration that admitted it.
     config_version: u64,
-    /// Credit under its workspace's cap.
+    /// Credit reserved under its workspace's quota.
     credit: Option<Credit>,
     service: Name,
     engine: Option<Engine>,
     began_ms: u64,
-    /// When its time is up.
+    /// Deadline on this daemon's clock.
     pub(crate) deadline_ms: u64,
     seed: u64,
     pub(crate) tried: Vec<Name>,
     unavailable: Vec<Name>,
-    /// Times that a target was full.
+    /// Refusals by full targets.
     full_refusals: u32,
     pub(crate) verdict: Verdict,
     /// Sends that reached a target.
     deliveries: u32,
-    /// A failure of a target, to be passed on if nothing better comes.
+    /// A target's error response, passed on if no target answers better.
     fallback: Option<(StatusCode, HeaderMap, Bytes)>,
     pub(crate) in_flight: Option<InFlightGuard>,
-    /// Ms spent on waiting for adapters to be placed.
+    /// Ms spent waiting for adapters to load.
     pub(crate) load_wait_ms: u64,
     /// Ms from arrival to the first event.
     pub(crate) first_event_ms: u64,
-    /// Set while it is tried though it is held back.
+    /// Set while a quarantined request is tried once more.
     trial: Option<Trial>,
-    /// Whether its end is logged, or another job goes on with it.
+    /// Whether its outcome is logged, or a detached copy continues it.
     pub(crate) finished: bool,
 }
 
-/// A request that is dropped has lost its caller. Without a line of its own
-/// it would be missing from every account of what became of the requests.
+/// A request dropped before it finished was abandoned by its caller. This line
+/// keeps it from missing in the log and the metrics.
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
         if !self.finished {
@@ -149,9 +150,9 @@
 }
 
 impl Node {
-    /// Serves a request of a caller. Dropping the future cancels what may be
-    /// cancelled: a request that runs at most once goes on to its end, since
-    /// half of it can be neither undone nor repeated.
+    /// Serves a request of a caller. Dropping the future cancels it where that is
+    /// safe: a request that runs at most once continues to its end, since a
+    /// partial run can be neither undone nor repeated.
     pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.has_started()) else {
@@ -249,7 +250,7 @@
 
     async fn run(mut self) -> Reply {
         self.record_request();
-        // Whether a holder said that the wait in its group would be too long.
+        // Whether a lease holder has said that the wait in its group is too long.
         let mut too_long = false;
         for round in 0..MAX_ROUNDS {
             if self.remaining_ms() == 0 {
@@ -351,22 +352,22 @@
         )
     }
 
-    /// Whether it may only go where it was sent before.
+    /// Whether it may only be sent to targets that have already received it.
     fn only_tried(&self) -> bool {
         self.tried.len() as u32 >= self.route.attempts.max(1)
     }
 
-    /// Whether all targets it may be sent to have had it in doubt.
+    /// Whether every target it may be sent to has left its outcome unknown.
     fn attempts_exhausted(&self) -> bool {
         self.verdict.doubt && self.only_tried()
     }
 
-    /// Whether too much of its time went by without a send.
+    /// Whether it has waited too long without being sent.
     fn hold_expired(&self) -> bool {
         self.node.now() > self.hold_end_ms()
     }
 
-    /// Ms for which it may still be held without a send.
+    /// How much longer it may wait without being sent, in ms.
     fn hold_left_ms(&self) -> u64 {
         self.hold_end_ms().saturating_sub(self.node.now())
     }
@@ -376,7 +377,7 @@
         self.began_ms + hold_ms
     }
 
-    /// Counts the request for budgets and demand.
+    /// Counts the request for the retry budget and the demand for its adapter.
     fn record_request(&self) {
         let now = self.node.now();
         let bounds = self.node.settings().bounds.clone();
@@ -397,7 +398,7 @@
         }
     }
 
-    /// Takes a repeat out of the budget.
+    /// Takes one retry out of the service's budget, if there is one.
     fn take_retry(&self) -> bool {
         let now = self.node.now();
         let daemons = self.node.fleet.size(now);
@@ -424,21 +425,21 @@
         choose::choose(&self.node, &criteria)
     }
 
-    /// A target's failure that was kept in case nothing better came.
+    /// The error response kept in case no target answered better.
     fn fallback_reply(&mut self, why: &'static str) -> Option<Reply> {
         let (status, headers, body) = self.fallback.take()?;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why; "passed on a target's failure");
         Some(complete_reply(status, headers, body))
     }
 
-    /// When its caller should come back, in ms, if there is room for it after
-    /// `excess_ms`.
+    /// When its caller should retry, in ms, if the load is `excess_ms` too high
+    /// now.
     fn retry_after_ms(&self, excess_ms: f64) -> u64 {
         let draw: u64 = rand::rng().random();
         admission::retry_ms(excess_ms, self.remaining_ms(), draw)
     }
 
-    /// The final answer, at once.
+    /// Ends the request with its final answer.
     fn give_up(&mut self, why: &'static str, excess_ms: f64) -> Reply {
         self.finished = true;
         self.return_credit();
@@ -456,8 +457,8 @@
     }
 }
 
-/// A target's own answer. A failure whose status would promise "not run"
-/// without the target's proof is passed on as one that promises nothing.
+/// Passes on a target's own answer. An error whose status would tell the caller
+/// "not run" without the target's proof becomes one that promises nothing.
 fn complete_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
     let promises = [
         StatusCode::TOO_MANY_REQUESTS,
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -1,4 +1,4 @@
-//! Having an engine found for a request before it is sent.
+//! Binding a request to an engine before it is sent.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     flight::RunHandle,
 };
 
-/// What came of looking for an engine.
+/// Result of binding a request.
 pub(super) enum BindOutcome {
     /// The plan has an engine that can take the request.
     Engine,
-    /// None in that group can now; others may.
+    /// No engine of that group can take it now; other groups may.
     None,
     /// Its wait there would be too long, in ms.
     TooLong(u64),
@@ -26,9 +26,9 @@
 impl ActiveRequest {
     /// Whether the target still takes work.
     ///
-    /// What goes wrong without it: a request waits seconds for its adapter,
-    /// its target says meanwhile that it leaves, and gets the request long
-    /// after the bound for new work at leaving targets.
+    /// Checked right before the send: a request may wait seconds for its adapter,
+    /// and its target may start draining meanwhile; the request would arrive
+    /// after the bound for new work at draining targets.
     pub(super) fn target_still_accepts(&self, plan: &Plan) -> bool {
         let now = self.node.now();
         let view = self.node.view();
@@ -36,8 +36,8 @@
         known.is_some_and(|t| view.accepts(t, &self.service, now))
     }
 
-    /// Has the holder of the planned group choose the engine, which becomes
-    /// the plan's target.
+    /// Lets the lease holder of the planned group choose the engine, which
+    /// becomes the plan's target.
     pub(super) async fn bind(&mut self, plan: &mut Plan) -> BindOutcome {
         let Some(adapter) = self.ask.adapter.clone().filter(|_| self.engine.is_some()) else {
             return BindOutcome::Engine;
@@ -47,18 +47,19 @@
         }
         let began = self.node.now();
         let run = self.node.fleet.next_run();
-        let mut found = bind::bind(&self.node, self.bind_params(plan, run, plan.needs_load)).await;
-        if found == Err(BindError::LoadRequired) {
-            found = bind::bind(&self.node, self.bind_params(plan, run, true)).await;
+        let mut result = bind::bind(&self.node, self.bind_params(plan, run, plan.needs_load)).await;
+        if result == Err(BindError::LoadRequired) {
+            result = bind::bind(&self.node, self.bind_params(plan, run, true)).await;
         }
         let stall = self.node.now() - began;
         if plan.needs_load {
             self.load_wait_ms += stall;
             self.node.metrics.stall(stall);
         }
-        match found {
-            Ok(bound) => self.apply_binding(plan, &adapter, run, bound, stall),
-            // The holder is left out now; what needs no load needs no holder.
+        match result {
+            Ok(binding) => self.apply_binding(plan, &adapter, run, binding, stall),
+            // The holder is skipped from now on; a send that needs no load can do
+            // without it.
             Err(BindError::NoAnswer) if !plan.needs_load => BindOutcome::Engine,
             Err(BindError::TooLong(ms)) => {
                 self.exclude_group(&plan.target.domain);
@@ -77,51 +78,51 @@
             group: plan.target.domain.clone(),
             service: self.service.clone(),
             requirements: self.requirements.clone(),
-            version: plan.min_version,
+            min_version: plan.min_version,
             priority: self.rank,
-            aim_ms: self.route.target_ms,
-            spent_ms: self.node.now() - self.began_ms,
-            left_ms: self.remaining_ms(),
+            objective_ms: self.route.target_ms,
+            elapsed_ms: self.node.now() - self.began_ms,
+            remaining_ms: self.remaining_ms(),
             tried: self.tried.clone(),
-            closed: self.unavailable.clone(),
+            unavailable: self.unavailable.clone(),
             only_tried: self.only_tried(),
             may_wait,
         }
     }
 
-    /// Goes on at the engine that the holder chose, if it is known here.
+    /// Continues with the engine that the holder chose, if it is known here.
     fn apply_binding(
         &self,
         plan: &mut Plan,
         adapter: &AdapterRef,
         run: u64,
-        bound: Binding,
+        binding: Binding,
         ms: u64,
     ) -> BindOutcome {
-        log::debug!(target: "serve", id:% = self.ask.id, target_id:% = bound.target, version = bound.version, wait = bound.wait_ms, ms; "engine found");
+        log::debug!(target: "serve", id:% = self.ask.id, target_id:% = binding.target, version = binding.version, wait = binding.wait_ms, ms; "engine found");
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Standing::Held(bound.version);
-            view.residency.note(adapter, &bound.target, standing, now);
+            let standing = Standing::Held(binding.version);
+            view.residency.note(adapter, &binding.target, standing, now);
         }
-        if bound.hot {
+        if binding.hot {
             view.mark_hot(adapter, now);
         }
-        let Some(target) = view.targets.get(&bound.target).cloned() else {
-            log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
+        let Some(target) = view.targets.get(&binding.target).cloned() else {
+            log::info!(target: "serve", id:% = self.ask.id, target_id:% = binding.target; "the engine found is not known here yet");
             return BindOutcome::None;
         };
         drop(view);
-        plan.unread_tokens = bound.unread;
-        plan.wait_ms = bound.wait_ms as f64;
-        plan.granted = bound.granted;
+        plan.unread_tokens = binding.unread_tokens;
+        plan.wait_ms = binding.wait_ms as f64;
+        plan.granted = binding.granted;
         plan.run_handle = Some(RunHandle::new(&self.node, run, target.clone()));
         plan.target = target;
         BindOutcome::Engine
     }
 
-    /// Takes no engine of `group` for this request.
+    /// Excludes all engines of `group` for this request.
     fn exclude_group(&mut self, group: &str) {
         let view = self.node.view();
         let engines = view.targets.values().filter(|t| *t.domain == *group);
@@ -136,11 +137,11 @@
         if let BindError::NoEngine { gone, .. } = why {
             let until = self.node.now() + UNREACHABLE_MS;
             for target in gone {
-                // Every other request would ask for a place there too.
+                // Keeps other requests from asking for a slot there too.
                 self.node.view().unavailable_until.insert(target, until);
             }
         }
-        // All were closed: begin again rather than give up early.
+        // All targets are excluded: start over instead of failing early.
         if self.choose().is_none() {
             self.unavailable.clear();
             tokio::time::sleep(Duration::from_millis(RECHECK_MS)).await;
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request, and what its answer means.
+//! Sending a request once, and evaluating the response.
 
 use std::time::Duration;
 
@@ -17,34 +17,34 @@
     relay::Relay,
 };
 
-/// A target that could not be reached is left out this long, in ms.
+/// How long a target that could not be reached is excluded, in ms.
 pub(super) const UNREACHABLE_MS: u64 = 700;
 
-/// Least ms after which a missing first event is taken for a mute target,
-/// and how many times the estimate: the estimate errs by a prompt or two, and
-/// the longest prompts take over a second. A target left too early reads the
-/// prompt for nothing, and one of two sends is spent.
+/// Minimum time after which a missing first event means a hung target, in ms,
+/// and the factor on the estimate: the estimate is off by a prompt or two, and
+/// the longest prompts take over a second. Giving up on a target too early
+/// wastes its prefill and one of two attempts.
 const MIN_FIRST_EVENT_MS: u64 = 1_200;
 
 const FIRST_EVENT_FACTOR: f64 = 2.5;
 
-/// How much a failure proves about a target, against an answer's 1.
+/// How much a failure counts against a target; an answer counts 1.
 const FAILED_WEIGHT: f64 = 1.0;
 
 const UNREACHABLE_WEIGHT: f64 = 2.0;
 
-/// Targets that are looked at for the rest of a stream, at most: its caller's
-/// pause grows with each.
+/// Targets considered for the rest of a stream: each one lengthens the pause
+/// that the caller sees.
 const MAX_RESUME_CHOICES: u32 = 3;
 
-/// What the next step is after a send.
+/// What follows after a send.
 pub(super) enum Next {
     Reply(Reply),
     Retry,
 }
 
 impl ActiveRequest {
-    /// How long a first event may stay away before another target is tried.
+    /// How long to wait for the first event before another target is tried.
     pub(super) fn first_event_timeout_ms(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
         let mute = self.node.policies().patience;
@@ -55,8 +55,8 @@
         patience.min(self.remaining_ms())
     }
 
-    /// That it may be sent to the plan's target now; a target that takes nothing
-    /// is left out for a while.
+    /// Asks for permission to send to the plan's target now; a target that takes
+    /// nothing is excluded from the next choices.
     pub(super) async fn permit(&mut self, plan: &Plan) -> Option<Permit> {
         match outbound::permit(&self.node, &plan.target, plan.granted).await {
             Ok(permit) => Some(permit),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ms until one of its targets may take something, if none does now.
+    /// Ms until one of its targets may take work, if none does now.
     pub(super) fn all_unavailable_ms(&self) -> Option<u64> {
         let now = self.node.now();
         let unavailable = UnavailableTargets::current(&self.node, now);
@@ -76,7 +76,7 @@
         unavailable.all_ms(ready.iter().map(|t| &t.id))
     }
 
-    /// One line on why none of its targets takes anything, but for a flood of them.
+    /// Logs why none of its targets takes work, rate limited.
     pub(super) fn log_unavailable(&self) {
         let now = self.node.now();
         let Some(left_out) = self.node.log_limits.unavailable.admit(now) else {
@@ -87,7 +87,7 @@
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, targets, left_out; "targets take nothing");
     }
 
-    /// Sends it; an error has been taken into the verdict.
+    /// Sends it; an error has already been added to the verdict.
     pub(crate) async fn send(
         &mut self,
         plan: &mut Plan,
@@ -149,8 +149,9 @@
         }
     }
 
-    /// What the run of this send is told under: the holder's, or one of its
-    /// own if it goes there unasked; none at a target that is no engine.
+    /// The handle under which this run is reported: the holder's, or a new one if
+    /// the request goes there without a binding; none if the target is not an
+    /// engine.
     fn run_handle(&self, plan: &mut Plan) -> Option<RunHandle> {
         let own = || {
             let run = self.node.fleet.next_run();
@@ -174,7 +175,7 @@
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, target_id:% = target, outcome, why, left, config = self.config_version; "send");
     }
 
-    /// Turns a target's answer into the caller's, or decides to go on.
+    /// Turns a target's response into the caller's answer, or decides to retry.
     pub(super) async fn handle_response(
         &mut self,
         response: Response,
@@ -324,7 +325,7 @@
         }
     }
 
-    /// A whole answer came.
+    /// Handles a complete response.
     pub(super) fn handle_complete(
         &mut self,
         status: StatusCode,
@@ -357,7 +358,7 @@
         Next::Reply(complete_reply(status, headers, body))
     }
 
-    /// Chooses a target for the rest of a stream that broke off.
+    /// Chooses a target for the rest of an interrupted stream and sends it there.
     pub(crate) async fn resume_elsewhere(
         &mut self,
         last_event: Option<u64>,
@@ -389,7 +390,7 @@
     }
 }
 
-/// A whole body, or why it broke off.
+/// Reads a body to its end.
 async fn collect(mut body: Body) -> Result<Bytes, BodyError> {
     let mut out = BytesMut::new();
     while let Some(piece) = body.next().await {
