--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -9,28 +9,28 @@
 };
 
 #[test]
-fn next_whole_events_only() {
-    let mut e = EventSplitter::default();
-    e.push(b"id: 1\ndata: a\n\nid: 2\nda");
-    assert_eq!(e.next().unwrap().id, Some(1));
-    assert!(e.next().is_none());
-    assert!(e.has_partial());
-    e.push(b"ta: b\n");
-    assert!(e.next().is_none());
-    e.push(b"\n");
-    let event = e.next().unwrap();
+fn next_returns_whole_events_only() {
+    let mut events = EventSplitter::default();
+    events.push(b"id: 1\ndata: a\n\nid: 2\nda");
+    assert_eq!(events.next().unwrap().id, Some(1));
+    assert!(events.next().is_none());
+    assert!(events.has_partial());
+    events.push(b"ta: b\n");
+    assert!(events.next().is_none());
+    events.push(b"\n");
+    let event = events.next().unwrap();
     assert_eq!(event.id, Some(2));
     assert_eq!(&event.bytes[..], b"id: 2\ndata: b\n\n");
-    assert!(!e.has_partial());
+    assert!(!events.has_partial());
 }
 
 /// A lease as the store last showed it.
-struct Shown {
+struct StoredLease {
     token: Option<u64>,
     lapsed: Option<u64>,
 }
 
-impl Held for Shown {
+impl Held for StoredLease {
     fn token(&self, _: Instant) -> Option<u64> {
         self.token
     }
@@ -42,7 +42,7 @@
 
 fn leases(token: Option<u64>, lapsed: Option<u64>) -> Leases {
     let leases = Leases::default();
-    leases.add(&"g".into(), Arc::new(Shown { token, lapsed }));
+    leases.add(&"g".into(), Arc::new(StoredLease { token, lapsed }));
     leases
 }
 
@@ -50,7 +50,7 @@
 /// the lease expires and nobody can take it, but its holder may continue, since
 /// engines refuse its commands as soon as another holder takes over.
 #[test]
-fn token_lapsed_only_where_engines_check() {
+fn token_expired_lease_needs_fencing() {
     let leases = leases(None, Some(2));
     assert!(leases.token("g", true).is_some());
     assert!(leases.token("g", false).is_none());
@@ -60,7 +60,7 @@
 /// holder that learns of a higher fencing token must stop, even if its own
 /// lease looks valid.
 #[test]
-fn token_beaten_stops() {
+fn token_of_superseded_holder_is_none() {
     let holder = leases(Some(2), Some(2));
     let token = holder.token("g", true).unwrap();
     holder.beat("g", token + 1);
@@ -74,7 +74,7 @@
 /// of its lease stops as planned during an outage of the store: it cannot
 /// return the lease, so it has to name a successor.
 #[test]
-fn cede_successor_between_holders() {
+fn cede_token_lies_between_holders() {
     let old = leases(None, Some(2));
     let token = old.token("g", true).unwrap();
     let ceded = old.cede("g", true).unwrap();
@@ -93,7 +93,7 @@
 /// domain while their own idle: a newly hot adapter has few engines, and
 /// daemons know the queues only as of a second ago.
 #[test]
-fn asked_often_is_hot_for_a_while() {
+fn count_bind_frequent_adapter_is_hot() {
     let mut view = View::default();
     let adapter = AdapterRef {
         model: "m".into(),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn asked_one_group_is_never_hot() {
+fn count_bind_one_group_is_never_hot() {
     let mut view = View::default();
     let hot = (0..500)
         .filter(|i| view.count_bind("m/a", 1, 1_000 + i * 2))
--- a/crates/comfreyhall-node/tests/bind.rs
+++ b/crates/comfreyhall-node/tests/bind.rs
@@ -1,4 +1,4 @@
-//! Engines found by the holder of a group's lease.
+//! Binding of runs to engines by the holder of a group's lease.
 
 mod support;
 
@@ -21,7 +21,7 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status};
 
-/// A holder of the lease that tells of it and answers nothing else.
+/// A lease holder that announces its lease and answers nothing else.
 struct Silent(Daemon);
 
 #[tonic::async_trait]
@@ -60,7 +60,7 @@
     }
 }
 
-/// Starts the silent holder; the address of its peers' port.
+/// Starts the silent holder; returns its address for peers.
 async fn silent() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap().to_string();
@@ -78,7 +78,7 @@
     peer
 }
 
-/// Waits for `what`; a test whose daemons never get there ends all the same.
+/// Waits until `what` holds; fails after a minute.
 async fn until(what: impl Fn() -> bool) {
     let looks = async {
         while !what() {
@@ -95,7 +95,7 @@
             model: "m".into(),
             adapter: adapter.map(Name::from),
         }),
-        // Long enough that one prompt more is no equal choice.
+        // Long enough for one more prompt to rule out a tie between engines.
         tokens: Some(Tokens {
             prompt: 1_000,
             output: 20,
@@ -104,23 +104,23 @@
     }
 }
 
-/// Symptom: for five seconds every request of a failure domain was late or
-/// refused, though the engines there had its adapters. Events: the holder of
-/// the lease freezes, and its connections stay open. Cause: each request waited
-/// for an engine to be named until its time was up.
+/// Guards against a failure domain whose requests are late or refused for five
+/// seconds although its engines have their adapters: the lease holder freezes
+/// with its connections open, and each request must not wait for its answer
+/// until the deadline.
 #[tokio::test]
-async fn serve_silent_holder_done_without() {
+async fn serve_silent_holder_sends_directly() {
     let holder = silent().await;
     let table = FakeTable::default();
     let theirs = Lease::new(table.clone(), "d", "h".into(), Duration::from_secs(3));
     theirs.step(Instant::now, true).await.unwrap();
-    let mut world = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
-    let targets = &mut Arc::get_mut(&mut world).unwrap().targets;
+    let mut source = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
+    let targets = &mut Arc::get_mut(&mut source).unwrap().targets;
     targets[0].held[0].adapters = vec![("a1".into(), 1)];
-    let script = Arc::new(ScriptedBackend::default());
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let backend = Arc::new(ScriptedBackend::default());
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let settings = settings_of("n", "127.0.0.1:1", &[holder], 0.25);
-    let node = Node::new(settings, world, script.clone());
+    let node = Node::new(settings, source, backend.clone());
     comfreyhall_node::spawn(&node, table);
     until(|| node.ready() && node.addresses().0.len() == 2).await;
     let reply = node.serve(model_ask("q", Some("a1"))).await;
@@ -128,17 +128,17 @@
         caller_result(reply).await,
         CallerResult::Stream(vec![1], true)
     );
-    assert_eq!(&*script.sent.lock().unwrap()[0].target, "a");
+    assert_eq!(&*backend.sent.lock().unwrap()[0].target, "a");
 }
 
-/// Symptom: engines that looked idle got several prompts at once while others
-/// had none. Events: four daemons send a request each before they hear of the
-/// others'. Cause: each chose the engine by the news that it had.
+/// Guards against daemons that send to the same engines while others idle: four
+/// daemons send a request each before they learn of the others' by gossip, so
+/// the lease holder has to choose the engine.
 #[tokio::test]
-async fn serve_runs_of_all_daemons_counted() {
-    let world = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
-    let script = Arc::new(ScriptedBackend::default());
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Hang);
+async fn serve_runs_of_all_daemons_are_counted() {
+    let source = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
+    let backend = Arc::new(ScriptedBackend::default());
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Hang);
     let table = FakeTable::default();
     let mut listeners = Vec::new();
     for _ in 0..4 {
@@ -149,7 +149,7 @@
     let mut nodes = Vec::new();
     for (i, listener) in listeners.into_iter().enumerate() {
         let settings = settings_of(&format!("n{i}"), &addr(&listener), &seeds, 0.25);
-        let node = Node::new(settings, world.clone(), script.clone());
+        let node = Node::new(settings, source.clone(), backend.clone());
         comfreyhall_node::spawn(&node, table.clone());
         tokio::spawn(comfreyhall_node::serve_peers(node.clone(), listener));
         nodes.push(node);
@@ -157,7 +157,7 @@
     for node in &nodes {
         until(|| node.ready() && node.addresses().0.len() == 4).await;
     }
-    // All know who holds the lease.
+    // Lets every daemon learn who holds the lease.
     tokio::time::sleep(Duration::from_millis(600)).await;
     let mut calls = Vec::new();
     for i in 0..12 {
@@ -165,10 +165,10 @@
         let call =
             async move { caller_result(node.serve(model_ask(&format!("q{i}"), None)).await).await };
         calls.push(tokio::spawn(call));
-        until(|| script.sent.lock().unwrap().len() > i).await;
+        until(|| backend.sent.lock().unwrap().len() > i).await;
     }
     let mut counts: Map<Name, usize> = Map::default();
-    for seen in script.sent.lock().unwrap().iter() {
+    for seen in backend.sent.lock().unwrap().iter() {
         *counts.entry(seen.target.clone()).or_default() += 1;
     }
     assert_eq!(counts.get("a"), Some(&6), "{counts:?}");
--- a/crates/comfreyhall-node/tests/place.rs
+++ b/crates/comfreyhall-node/tests/place.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an adapter.
+//! Requests that wait for an adapter to be loaded.
 
 mod support;
 
@@ -21,75 +21,74 @@
 #[tokio::test]
 async fn serve_loads_adapter_first() {
     let route = route(Kind::Stream, 1, false);
-    let acts = vec![Behavior::Stream(vec![1], true)];
-    let (node, script, _) = start_node_with(route, Some(engine()), acts).await;
-    script.finish_loads.store(true, Ordering::SeqCst);
-    let got = caller_result(node.serve(adapter_ask("q")).await).await;
-    assert_eq!(got, CallerResult::Stream(vec![1], true));
-    let orders = script.commands.lock().unwrap();
+    let behaviors = vec![Behavior::Stream(vec![1], true)];
+    let (node, backend, _) = start_node_with(route, Some(engine()), behaviors).await;
+    backend.finish_loads.store(true, Ordering::SeqCst);
+    let result = caller_result(node.serve(adapter_ask("q")).await).await;
+    assert_eq!(result, CallerResult::Stream(vec![1], true));
+    let commands = backend.commands.lock().unwrap();
     assert!(
-        orders
+        commands
             .iter()
             .all(|o| o.expected_sequence == 0 || o.expected_sequence == 1)
     );
-    assert_eq!(orders[0].adapter.adapter.as_deref(), Some("a1"));
+    assert_eq!(commands[0].adapter.adapter.as_deref(), Some("a1"));
 }
 
-/// Symptom: a target got new work 2.2 s after it had said that it leaves.
-/// Events: a request waits seconds for its adapter; its target says that it
-/// leaves; the load ends; the request is sent there. Cause: the target was
-/// not looked at again after the wait.
+/// Guards against a target that gets new work 2.2 s after it began to drain: it
+/// announces that while a request waits seconds for its adapter, so the target
+/// has to be checked again after the load.
 #[tokio::test]
-async fn serve_target_left_while_waiting() {
+async fn serve_target_drains_while_waiting() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    let (node, script, world) = start_node_with(long, Some(engine()), Vec::new()).await;
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let (node, backend, source) = start_node_with(long, Some(engine()), Vec::new()).await;
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let call = tokio::spawn(async move { caller_result(node.serve(adapter_ask("q")).await).await });
-    while script.commands.lock().unwrap().is_empty() {
+    while backend.commands.lock().unwrap().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // Both say that they leave: the request must go to neither.
-    *world.draining.lock().unwrap() = vec!["a".into(), "b".into()];
+    // Both are draining: the request must go to neither.
+    *source.draining.lock().unwrap() = vec!["a".into(), "b".into()];
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    script.finish_loads.store(true, Ordering::SeqCst);
+    backend.finish_loads.store(true, Ordering::SeqCst);
     assert_eq!(call.await.unwrap(), CallerResult::NotRun);
-    assert!(script.sent.lock().unwrap().is_empty());
+    assert!(backend.sent.lock().unwrap().is_empty());
 }
 
-/// Symptom: for ten seconds the engines of a fleet of 60 loaded 12 adapters a
-/// second in place of 110. Events: engines leave some orders unanswered and
-/// carry them out seconds later. Cause: after each the engine was asked for a
-/// report, which is waited for a quarter of a second, before the next order.
+/// Guards against a drop from 110 to 12 adapter loads a second, seen for ten
+/// seconds in a fleet of 60 engines: engines leave some commands unanswered and
+/// carry them out seconds later. Asking for a report after each one, with a
+/// timeout of a quarter of a second, delayed the next command.
 #[tokio::test]
-async fn serve_unanswered_order_given_again() {
+async fn serve_unanswered_command_is_repeated() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 4_000;
-    let acts = vec![Behavior::Stream(vec![1], true)];
-    let (node, script, _) = start_node_with(long, Some(engine()), acts).await;
-    script.finish_loads.store(true, Ordering::SeqCst);
-    // Their first reports are no part of this.
-    while script.report_count.load(Ordering::SeqCst) < 2 {
+    let behaviors = vec![Behavior::Stream(vec![1], true)];
+    let (node, backend, _) = start_node_with(long, Some(engine()), behaviors).await;
+    backend.finish_loads.store(true, Ordering::SeqCst);
+    // Their first reports do not count here.
+    while backend.report_count.load(Ordering::SeqCst) < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    script.unanswered_commands.store(2, Ordering::SeqCst);
-    let got = caller_result(node.serve(adapter_ask("q")).await).await;
-    assert_eq!(got, CallerResult::Stream(vec![1], true));
-    let orders = script.commands.lock().unwrap();
-    let expected: Vec<u64> = orders.iter().map(|o| o.expected_sequence).collect();
-    // The third is accepted; the one after it looks whether the load is done.
-    assert_eq!(expected[..4], [0, 0, 0, 1], "{orders:?}");
-    assert_eq!(script.report_count.load(Ordering::SeqCst), 2);
+    backend.unanswered_commands.store(2, Ordering::SeqCst);
+    let result = caller_result(node.serve(adapter_ask("q")).await).await;
+    assert_eq!(result, CallerResult::Stream(vec![1], true));
+    let commands = backend.commands.lock().unwrap();
+    let expected: Vec<u64> = commands.iter().map(|o| o.expected_sequence).collect();
+    // The third is accepted; the one after it checks whether the load is done.
+    assert_eq!(expected[..4], [0, 0, 0, 1], "{commands:?}");
+    assert_eq!(backend.report_count.load(Ordering::SeqCst), 2);
 }
 
-/// Targets that were ordered to load `adapter`.
-fn loaders(script: &ScriptedBackend, adapter: &str) -> Vec<comfreyhall_domain::Name> {
-    let orders = script.commands.lock().unwrap();
-    let ordered = script.command_targets.lock().unwrap();
+/// Targets that were commanded to load `adapter`.
+fn loaders(backend: &ScriptedBackend, adapter: &str) -> Vec<comfreyhall_domain::Name> {
+    let commands = backend.commands.lock().unwrap();
+    let targets = backend.command_targets.lock().unwrap();
     let of =
         |o: &Command| o.action == Action::Load && o.adapter.adapter.as_deref() == Some(adapter);
-    let both = orders.iter().zip(ordered.iter());
+    let both = commands.iter().zip(targets.iter());
     let mut out: Vec<_> = both
         .filter(|(o, _)| of(o))
         .map(|(_, t)| t.clone())
@@ -104,55 +103,55 @@
     ask
 }
 
-/// Symptom: engines loaded half as many adapters again as were used, and
-/// places stood idle meanwhile. Events: a load begins late, its request stops
-/// waiting for a place, and asks another engine for the same adapter. Cause:
-/// the wait for a place and the wait for a load had one limit.
+/// Guards against engines that load half as many adapters again as are used,
+/// with idle slots meanwhile: when a load begins late, its request must not
+/// stop waiting and ask another engine for the same adapter. So the wait for a
+/// slot and the wait for a load have separate limits.
 #[tokio::test]
-async fn serve_load_outlasts_wait_for_place() {
+async fn serve_load_outlasts_wait_for_slot() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 4_000;
-    let (node, script, _) = start_node_with(long, Some(engine()), Vec::new()).await;
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let (node, backend, _) = start_node_with(long, Some(engine()), Vec::new()).await;
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let call =
         tokio::spawn(async move { caller_result(node.serve(ask_for("q", "a1")).await).await });
-    while script.commands.lock().unwrap().is_empty() {
+    while backend.commands.lock().unwrap().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(900)).await;
-    script.finish_loads.store(true, Ordering::SeqCst);
+    backend.finish_loads.store(true, Ordering::SeqCst);
     assert_eq!(call.await.unwrap(), CallerResult::Stream(vec![1], true));
-    assert_eq!(loaders(&script, "a1").len(), 1);
+    assert_eq!(loaders(&backend, "a1").len(), 1);
 }
 
-/// Symptom: requests waited 200 ms at an engine whose places were all in use,
-/// were turned away, and waited at the next, while places fell free elsewhere.
-/// Events: both engines have one place, in use; the run at one of them ends.
-/// Cause: a request waited at the engine it had chosen.
+/// Guards against requests that wait 200 ms at an engine without a free slot,
+/// are rejected and wait at the next one while slots become free elsewhere.
+/// Both engines have one slot, in use, and the run at one of them ends: the
+/// request must not be tied to the engine that it chose first.
 #[tokio::test]
-async fn serve_takes_place_that_falls_free() {
+async fn serve_takes_freed_slot() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 8_000;
     long.target_ms = 8_000;
-    let acts = vec![
+    let behaviors = vec![
         Behavior::Hang,
         Behavior::Hang,
         Behavior::Stream(vec![1], true),
     ];
-    let (node, script, _) = start_node_with(long, Some(engine()), acts).await;
-    script.finish_loads.store(true, Ordering::SeqCst);
+    let (node, backend, _) = start_node_with(long, Some(engine()), behaviors).await;
+    backend.finish_loads.store(true, Ordering::SeqCst);
     let mut held = Vec::new();
     for (i, adapter) in ["x", "y"].into_iter().enumerate() {
         let node = node.clone();
         held.push(tokio::spawn(async move {
             caller_result(node.serve(ask_for(adapter, adapter)).await).await
         }));
-        while script.sent.lock().unwrap().len() <= i {
+        while backend.sent.lock().unwrap().len() <= i {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let free = script.sent.lock().unwrap()[1].target.clone();
+    let free = backend.sent.lock().unwrap()[1].target.clone();
     let waiting = {
         let node = node.clone();
         tokio::spawn(async move { caller_result(node.serve(ask_for("z", "z")).await).await })
@@ -160,6 +159,6 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     held[1].abort();
     assert_eq!(waiting.await.unwrap(), CallerResult::Stream(vec![1], true));
-    assert_eq!(loaders(&script, "z"), [free]);
+    assert_eq!(loaders(&backend, "z"), [free]);
     held[0].abort();
 }
--- a/crates/comfreyhall-node/tests/serve.rs
+++ b/crates/comfreyhall-node/tests/serve.rs
@@ -1,4 +1,4 @@
-//! What a caller gets, for every way a send can end.
+//! What a caller gets, for each way in which a send can end.
 
 mod support;
 
@@ -9,160 +9,159 @@
     kind: Kind,
     attempts: u32,
     resumable: bool,
-    acts: Vec<Behavior>,
+    behaviors: Vec<Behavior>,
 ) -> (CallerResult, usize) {
-    let (node, script) = start_node(route(kind, attempts, resumable), acts).await;
+    let (node, backend) = start_node(route(kind, attempts, resumable), behaviors).await;
     let reply = node.serve(ask("q")).await;
-    let got = caller_result(reply).await;
-    let sends = script.sent.lock().unwrap().len();
-    (got, sends)
+    let result = caller_result(reply).await;
+    let sends = backend.sent.lock().unwrap().len();
+    (result, sends)
 }
 
 #[tokio::test]
-async fn serve_answer_passes() {
-    let acts = vec![Behavior::Answer(200, 0)];
+async fn serve_answer_is_passed_on() {
+    let behaviors = vec![Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(Kind::Unsafe, 1, false, behaviors).await,
         (CallerResult::Complete(200), 1)
     );
 }
 
-/// Symptom: an enquiry reached its seller twice. Events: the answer to the
-/// first send is lost. Cause: a request that runs at most once was sent
-/// again, or its caller was told that it had not run.
+/// Guards against an enquiry that reaches its seller twice: when the answer to
+/// the first send is lost, a request that runs at most once must neither be
+/// sent again nor be reported as not run.
 #[tokio::test]
-async fn serve_unsafe_in_doubt_is_unknown() {
-    let acts = vec![Behavior::LoseAnswer, Behavior::Answer(200, 0)];
+async fn serve_unsafe_lost_answer_is_unknown() {
+    let behaviors = vec![Behavior::LoseAnswer, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, acts).await,
+        serve(Kind::Unsafe, 2, false, behaviors).await,
         (CallerResult::Unknown, 1)
     );
 }
 
 #[tokio::test]
-async fn serve_unsafe_unreached_goes_on() {
-    let acts = vec![Behavior::Unreachable, Behavior::Answer(200, 0)];
+async fn serve_unsafe_unreachable_is_retried() {
+    let behaviors = vec![Behavior::Unreachable, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(Kind::Unsafe, 1, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
 
 #[tokio::test]
-async fn serve_unsafe_refused_goes_on() {
-    let acts = vec![Behavior::Refuse(Refusal::Full), Behavior::Answer(200, 0)];
+async fn serve_unsafe_refused_is_retried() {
+    let behaviors = vec![Behavior::Refuse(Refusal::Full), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, acts).await,
+        serve(Kind::Unsafe, 2, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
 
-/// Symptom: a fifth of the repeats that all share went to engines that were
-/// full, and requests that a repeat would have saved got none. Events: an
-/// adapter is being replaced and its engine refuses what comes meanwhile.
-/// Cause: a request that may go nowhere else was sent there every 7 ms.
+/// Guards against a fifth of the shared retry budget going to engines that are
+/// full, so that requests which a retry would have saved get none: while an
+/// adapter is being replaced its engine refuses requests, and one that may go
+/// nowhere else was sent there every 7 ms.
 #[tokio::test]
-async fn serve_full_target_not_hammered() {
-    let acts = (0..20).map(|_| Behavior::Refuse(Refusal::Full)).collect();
-    let (got, sends) = serve(Kind::Unsafe, 1, false, acts).await;
-    assert_eq!(got, CallerResult::NotRun);
+async fn serve_full_target_is_retried_slowly() {
+    let behaviors = (0..20).map(|_| Behavior::Refuse(Refusal::Full)).collect();
+    let (result, sends) = serve(Kind::Unsafe, 1, false, behaviors).await;
+    assert_eq!(result, CallerResult::NotRun);
     assert!(sends <= 3, "{sends} sends");
 }
 
 #[tokio::test]
-async fn serve_safe_error_tried_elsewhere() {
-    let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(200, 0)];
+async fn serve_safe_error_is_retried_elsewhere() {
+    let behaviors = vec![Behavior::Answer(500, 0), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(Kind::Safe, 2, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
 
 #[tokio::test]
-async fn serve_safe_last_error_passes() {
-    let acts = vec![Behavior::Answer(500, 0), Behavior::Answer(500, 0)];
+async fn serve_safe_last_error_is_passed_on() {
+    let behaviors = vec![Behavior::Answer(500, 0), Behavior::Answer(500, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, acts).await,
+        serve(Kind::Safe, 2, false, behaviors).await,
         (CallerResult::Complete(500), 2)
     );
 }
 
-/// Symptom: a request came back and ran twice although its caller had been
-/// told that it had not run. Events: a target fails with a status that
-/// promises "not run", without its proof. Cause: the status was passed on.
+/// Guards against a request that runs twice because its caller was told that it
+/// had not run: a target fails with a status that promises "not run" but
+/// without the proof, and the status must not be passed on.
 #[tokio::test]
-async fn serve_unproved_promise_is_unknown() {
+async fn serve_unproven_not_run_is_unknown() {
     for status in [429, 503, 408] {
-        let acts = vec![Behavior::UnprovenFailure(status)];
+        let behaviors = vec![Behavior::UnprovenFailure(status)];
         assert_eq!(
-            serve(Kind::Unsafe, 1, false, acts).await,
+            serve(Kind::Unsafe, 1, false, behaviors).await,
             (CallerResult::Unknown, 1)
         );
     }
 }
 
-/// Symptom: a caller got bytes that no target had answered. Events: a faulty
-/// target sends a success without its mark. Cause: it was passed on.
+/// Guards against a caller that receives bytes which no target sent as an
+/// answer: a faulty target returns a success without the marker.
 #[tokio::test]
-async fn serve_forged_success_never_passes() {
-    let acts = vec![Behavior::UnverifiedSuccess];
+async fn serve_unverified_success_is_unknown() {
+    let behaviors = vec![Behavior::UnverifiedSuccess];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(Kind::Unsafe, 1, false, behaviors).await,
         (CallerResult::Unknown, 1)
     );
 }
 
 #[tokio::test]
-async fn serve_stream_passes() {
-    let acts = vec![Behavior::Stream(vec![1, 2, 3], true)];
-    let got = serve(Kind::Stream, 1, false, acts).await;
-    assert_eq!(got, (CallerResult::Stream(vec![1, 2, 3], true), 1));
+async fn serve_stream_is_passed_on() {
+    let behaviors = vec![Behavior::Stream(vec![1, 2, 3], true)];
+    let result = serve(Kind::Stream, 1, false, behaviors).await;
+    assert_eq!(result, (CallerResult::Stream(vec![1, 2, 3], true), 1));
 }
 
-/// Symptom: a listener's session broke off midway. Events: a target stops in
-/// the middle of an event. Cause: the rest was not fetched elsewhere.
+/// Guards against a caller's session that is cut midway: a target stops in the
+/// middle of an event, and the rest has to come from another one.
 #[tokio::test]
 async fn serve_stream_resumed_elsewhere() {
-    let acts = vec![
+    let behaviors = vec![
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![3, 4], true),
     ];
-    let (node, script) = start_node(route(Kind::Stream, 2, true), acts).await;
-    let got = caller_result(node.serve(ask("q")).await).await;
-    assert_eq!(got, CallerResult::Stream(vec![1, 2, 3, 4], true));
-    let seen = script.sent.lock().unwrap();
+    let (node, backend) = start_node(route(Kind::Stream, 2, true), behaviors).await;
+    let result = caller_result(node.serve(ask("q")).await).await;
+    assert_eq!(result, CallerResult::Stream(vec![1, 2, 3, 4], true));
+    let seen = backend.sent.lock().unwrap();
     assert_eq!(seen[1].options.last_event, Some(2));
     assert_ne!(seen[0].target, seen[1].target);
 }
 
-/// Symptom: a stream with two runs joined in it. Events: a stream that may
-/// not be resumed breaks off. Cause: it was resumed all the same, or ended
-/// as if it were complete.
+/// Guards against a stream in which two runs are joined, or which looks
+/// complete although it is not: a stream that may not be resumed must be
+/// aborted.
 #[tokio::test]
-async fn serve_stream_not_resumable_breaks_off() {
-    let acts = vec![Behavior::Stream(vec![1, 2], false)];
-    let got = serve(Kind::Stream, 2, false, acts).await;
-    assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 1));
+async fn serve_stream_not_resumable_is_aborted() {
+    let behaviors = vec![Behavior::Stream(vec![1, 2], false)];
+    let result = serve(Kind::Stream, 2, false, behaviors).await;
+    assert_eq!(result, (CallerResult::Stream(vec![1, 2], false), 1));
 }
 
-/// Symptom: a caller missed a piece in the middle of its stream. Events: the
-/// target that goes on begins one event too late. Cause: ids were not
-/// checked.
+/// Guards against a gap in the middle of a caller's stream: the target that
+/// resumes it begins one event too late, which the event ids show.
 #[tokio::test]
-async fn serve_stream_gap_breaks_off() {
-    let acts = vec![
+async fn serve_stream_gap_is_aborted() {
+    let behaviors = vec![
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![4, 5], true),
     ];
-    let got = serve(Kind::Stream, 2, true, acts).await;
-    assert_eq!(got, (CallerResult::Stream(vec![1, 2], false), 2));
+    let result = serve(Kind::Stream, 2, true, behaviors).await;
+    assert_eq!(result, (CallerResult::Stream(vec![1, 2], false), 2));
 }
 
 #[tokio::test]
-async fn serve_mute_target_times_out() {
-    let acts = vec![Behavior::Hang];
+async fn serve_hung_target_times_out() {
+    let behaviors = vec![Behavior::Hang];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, acts).await,
+        serve(Kind::Unsafe, 1, false, behaviors).await,
         (CallerResult::TimedOut, 1)
     );
 }
--- a/crates/comfreyhall-node/tests/stop.rs
+++ b/crates/comfreyhall-node/tests/stop.rs
@@ -8,14 +8,13 @@
 use comfreyhall_node::leave;
 use support::*;
 
-/// Symptom: a caller's connection closed without an answer in the last
-/// instant of a planned stop. Events: nothing is in progress, the process
-/// waits for its last bytes to leave, a request comes in and is passed on,
-/// the process ends. Cause: requests were taken until the very end.
+/// Guards against a connection that closes without an answer at the very end of
+/// a planned stop: nothing is in progress and the process waits for its last
+/// bytes to be sent, so a request accepted then would be lost when it exits.
 #[tokio::test]
 async fn leave_refuses_before_it_ends() {
-    let (node, script) = start_node(route(Kind::Safe, 1, false), Vec::new()).await;
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Answer(200, 400));
+    let (node, backend) = start_node(route(Kind::Safe, 1, false), Vec::new()).await;
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Answer(200, 400));
     let stopping = node.clone();
     let stop = tokio::spawn(async move {
         leave(&stopping, || {}).await;
@@ -32,15 +31,15 @@
     assert!(refused);
 }
 
-/// Symptom: a stream was cut by a planned stop though it began seconds after
-/// the signal. Events: a caller with an old address answer sends a stream
-/// that may last longer than the stop. Cause: it was taken.
+/// Guards against a stream that a planned stop cuts off although it began
+/// seconds after the signal: a caller with an outdated address list sends a
+/// stream that may outlast the stop, and it must be refused.
 #[tokio::test]
-async fn leave_takes_no_late_stream() {
+async fn leave_refuses_late_stream() {
     let mut long = route(Kind::Stream, 1, false);
     long.timeout_ms = 15_000;
-    let (node, script) = start_node(long, Vec::new()).await;
-    *script.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
+    let (node, backend) = start_node(long, Vec::new()).await;
+    *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let stopping = node.clone();
     let stop = tokio::spawn(async move { leave(&stopping, || {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A world for one daemon: settings, targets and what they answer, scripted.
+//! A scripted environment for one daemon: settings, targets and their answers.
 
 #![allow(dead_code)]
 
@@ -22,7 +22,7 @@
 /// What a target does with one send.
 #[derive(Debug, Clone)]
 pub enum Behavior {
-    /// Answers whole after so many ms.
+    /// Answers completely with this status after so many ms.
     Answer(u16, u64),
     /// Nothing reaches it.
     Unreachable,
@@ -30,22 +30,23 @@
     Hang,
     /// The answer is lost.
     LoseAnswer,
-    /// The target closes the connection and ends.
+    /// The target closes the connection and exits.
     Exit,
-    /// The target closes the connection and lives on.
+    /// The target closes the connection and stays alive.
     CloseConnection,
-    /// Proves that it did not run.
+    /// Proves that the request did not run.
     Refuse(Refusal),
-    /// A success without the mark of a target.
+    /// A success without the marker of a target.
     UnverifiedSuccess,
     /// A failure with this status and no proof.
     UnprovenFailure(u16),
-    /// Streams these ids; then ends whole, or breaks off.
+    /// Streams these event ids; then ends normally, or stops in the middle of an
+    /// event.
     Stream(Vec<u64>, bool),
 }
 
 /// How long a target runs a request before it closes the connection.
-const LAST: Duration = Duration::from_millis(5);
+const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
 /// One send as targets saw it.
 #[derive(Debug, Clone)]
@@ -60,19 +61,20 @@
 pub struct ScriptedBackend {
     pub behaviors: Mutex<Vec<Behavior>>,
     pub sent: Mutex<Vec<SentRequest>>,
-    /// Used when `acts` is empty.
+    /// Used when `behaviors` is empty.
     pub default_behavior: Mutex<Option<Behavior>>,
-    /// Orders to load so far; a load is done at the second look.
+    /// Commands received so far; the second one for an adapter finds its load
+    /// done.
     pub commands: Mutex<Vec<Command>>,
-    /// Targets of the orders, in the same order.
+    /// Targets of the commands, in the same order.
     pub command_targets: Mutex<Vec<Name>>,
-    /// Whether loads end.
+    /// Whether loads finish.
     pub finish_loads: std::sync::atomic::AtomicBool,
-    /// Orders that get no answer, from the first one on.
+    /// Number of commands that get no answer, from the first one on.
     pub unanswered_commands: std::sync::atomic::AtomicUsize,
-    /// Targets that have ended.
+    /// Targets that have exited.
     pub exited_targets: Mutex<Vec<Name>>,
-    /// Reports asked for so far.
+    /// Reports requested so far.
     pub report_count: std::sync::atomic::AtomicUsize,
 }
 
@@ -108,17 +110,17 @@
             request: ask.id.clone(),
             options,
         });
-        let mut acts = self.behaviors.lock().unwrap();
-        let act = match acts.is_empty() {
+        let mut behaviors = self.behaviors.lock().unwrap();
+        let behavior = match behaviors.is_empty() {
             true => self.default_behavior.lock().unwrap().clone(),
-            false => Some(acts.remove(0)),
+            false => Some(behaviors.remove(0)),
         };
-        let act = act.unwrap_or(Behavior::Answer(200, 0));
-        if matches!(act, Behavior::Exit) {
+        let behavior = behavior.unwrap_or(Behavior::Answer(200, 0));
+        if matches!(behavior, Behavior::Exit) {
             self.exited_targets.lock().unwrap().push(target.id.clone());
         }
         async move {
-            match act {
+            match behavior {
                 Behavior::Answer(status, ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                     Ok(respond(status, whole("body")))
@@ -126,7 +128,7 @@
                 Behavior::Unreachable => Err(SendError::NotSent("scripted".into())),
                 Behavior::LoseAnswer => Err(SendError::Indeterminate("scripted".into())),
                 Behavior::Exit | Behavior::CloseConnection => {
-                    tokio::time::sleep(LAST).await;
+                    tokio::time::sleep(CLOSE_DELAY).await;
                     Err(SendError::ConnectionClosed("scripted".into()))
                 }
                 Behavior::Hang => std::future::pending().await,
@@ -155,7 +157,7 @@
                     }
                     let paced = stream::iter(pieces).then(|piece| async {
                         if piece.is_err() {
-                            tokio::time::sleep(LAST).await;
+                            tokio::time::sleep(CLOSE_DELAY).await;
                         }
                         piece
                     });
@@ -172,14 +174,14 @@
     fn command(
         &self,
         target: Arc<Target>,
-        order: Command,
+        command: Command,
     ) -> BoxFuture<'static, TargetReply<CommandReply>> {
         self.command_targets.lock().unwrap().push(target.id.clone());
-        let mut orders = self.commands.lock().unwrap();
-        let answered = orders.len() >= self.unanswered_commands.load(Ordering::SeqCst);
-        let first = orders.len() == self.unanswered_commands.load(Ordering::SeqCst);
-        let again = !first && orders.iter().any(|o| o.adapter == order.adapter);
-        orders.push(order);
+        let mut commands = self.commands.lock().unwrap();
+        let answered = commands.len() >= self.unanswered_commands.load(Ordering::SeqCst);
+        let first = commands.len() == self.unanswered_commands.load(Ordering::SeqCst);
+        let again = !first && commands.iter().any(|o| o.adapter == command.adapter);
+        commands.push(command);
         let ended = again && self.finish_loads.load(Ordering::SeqCst);
         async move {
             if !answered {
@@ -226,16 +228,16 @@
     }
 }
 
-/// A configuration, and targets that may leave.
+/// A configuration, and targets that may drain.
 pub struct ScriptedSource {
     pub config: Config,
-    /// A newer configuration, and whoever waits for one.
+    /// A newer configuration, once it is published.
     pub published: Mutex<Option<Config>>,
     pub notify: Notify,
-    /// Whether changes of the settings are read at all.
+    /// Whether the store fails to answer for changes of the settings.
     pub unavailable: AtomicBool,
     pub targets: Vec<Target>,
-    /// Targets that say that they leave.
+    /// Targets that are draining.
     pub draining: Mutex<Vec<Name>>,
 }
 
@@ -300,13 +302,13 @@
 }
 
 impl ScriptedSource {
-    /// Writes `config` as an operator would.
+    /// Publishes `config` as an operator would.
     pub fn publish(&self, config: Config) {
         *self.published.lock().unwrap() = Some(config);
         self.notify.notify_waiters();
     }
 
-    /// The configuration written after `after`, once there is one.
+    /// The configuration published after `after`, once there is one.
     async fn changed(&self, after: u64) -> RecordBatch {
         loop {
             let published = self.notify.notified();
@@ -389,12 +391,15 @@
 }
 
 /// A daemon that serves `route` with targets `a` and `b`.
-pub async fn start_node(route: Route, acts: Vec<Behavior>) -> (Arc<Node>, Arc<ScriptedBackend>) {
-    let (node, script, _) = start_node_with(route, None, acts).await;
-    (node, script)
+pub async fn start_node(
+    route: Route,
+    behaviors: Vec<Behavior>,
+) -> (Arc<Node>, Arc<ScriptedBackend>) {
+    let (node, backend, _) = start_node_with(route, None, behaviors).await;
+    (node, backend)
 }
 
-/// A model service whose engines have one place for adapters of model `m`.
+/// A model service whose engines have one slot for adapters of model `m`.
 pub fn engine() -> Engine {
     Engine {
         slots: 4,
@@ -411,7 +416,8 @@
     }
 }
 
-/// A world with `route` and targets `a` and `b`; `engine` makes them engines.
+/// A source with `route` and targets `a` and `b`, which are engines if `engine`
+/// is given.
 pub fn scripted_source(route: Route, engine: Option<Engine>) -> Arc<ScriptedSource> {
     let mut targets = vec![target("a"), target("b")];
     if engine.is_some() {
@@ -443,21 +449,21 @@
     })
 }
 
-/// The same with the world it sees.
+/// The same; also returns its source.
 pub async fn start_node_with(
     route: Route,
     engine: Option<Engine>,
-    acts: Vec<Behavior>,
+    behaviors: Vec<Behavior>,
 ) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
     let source = scripted_source(route, engine);
-    let script = Arc::new(ScriptedBackend::default());
-    *script.behaviors.lock().unwrap() = acts;
-    let node = Node::new(settings(), source.clone(), script.clone());
+    let backend = Arc::new(ScriptedBackend::default());
+    *backend.behaviors.lock().unwrap() = behaviors;
+    let node = Node::new(settings(), source.clone(), backend.clone());
     comfreyhall_node::spawn(&node, comfreyhall_fakes::FakeTable::default());
     while !node.ready() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    (node, script, source)
+    (node, backend, source)
 }
 
 pub fn ask(id: &str) -> Ask {
@@ -486,13 +492,13 @@
     NotRun,
     TimedOut,
     Unknown,
-    /// The key belongs to nobody.
+    /// The key belongs to no workspace.
     UnknownKey,
-    /// The workspace is over its cap.
+    /// The workspace is over its quota.
     OverCap,
-    /// Held back; whether it may have run.
+    /// Quarantined; whether it may have run.
     Quarantined(bool),
-    /// The ids of the stream's events and whether it ended whole.
+    /// The ids of the stream's events and whether it ended normally.
     Stream(Vec<u64>, bool),
     Other,
 }
@@ -524,12 +530,12 @@
     }
 }
 
-/// What the tests hash keys with.
+/// Hashes keys in the tests.
 pub fn hasher() -> KeyHasher {
     KeyHasher::new(Salt::new([9; 32]))
 }
 
-/// The workspace `name`, without a cap, whose key is `key of NAME`.
+/// The workspace `name`, without a quota, whose key is `key of NAME`.
 pub fn entry(name: &str) -> Entry {
     Entry {
         name: name.to_string(),
@@ -538,7 +544,7 @@
     }
 }
 
-/// Workspaces without caps.
+/// Workspaces without quotas.
 pub fn workspaces(names: &[&str]) -> Workspaces {
     read(hasher(), names.iter().map(|n| entry(n)).collect()).0
 }
