--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use comfreyhall_domain::{Engine, Name};
+use comfreyhall_domain::{EngineConfig, Name};
 use comfreyhall_routing::admission;
 
 use super::{BindError, BindParams, Binding};
 use crate::{
     choose::{self, Criteria, Plan},
-    fleet::key_of,
+    fleet::adapter_key,
     flight::PendingLoad,
     keeper::{self, Placed},
     leases,
@@ -29,7 +29,7 @@
     let plan = plan.ok_or_else(|| BindError::no_engine("no engine of the group can take it"))?;
     let first = params.tried.is_empty() && node.policies().admission;
     if first
-        && admission::refuse(
+        && admission::should_refuse(
             plan.wait_ms,
             params.remaining_ms,
             params.objective_ms,
@@ -50,7 +50,7 @@
     binding(node, &params, &placed.target, placed.version, 0.0)
 }
 
-fn engine_of(node: &Node, service: &Name) -> Option<Engine> {
+fn engine_of(node: &Node, service: &Name) -> Option<EngineConfig> {
     let config = node.config()?;
     config.services.get(service)?.engine.clone()
 }
@@ -68,12 +68,12 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.count_bind(&key_of(adapter), groups, now) {
+    if view.count_bind(&adapter_key(adapter), groups, now) {
         view.mark_hot(adapter, now);
     }
 }
 
-fn choose(node: &Node, params: &BindParams, engine: &Engine) -> Option<Plan> {
+fn choose(node: &Node, params: &BindParams, engine: &EngineConfig) -> Option<Plan> {
     let criteria = Criteria {
         requirements: &params.requirements,
         objective_ms: params.objective_ms,
@@ -104,7 +104,7 @@
     let unread_tokens = choose::unread(&view, &params.requirements, target);
     if let Some(adapter) = &params.requirements.adapter {
         view.prefixes
-            .note(adapter, &params.requirements.parts, target, now);
+            .record(adapter, &params.requirements.parts, target, now);
     }
     let hot = params.requirements.adapter.as_ref();
     let hot = hot.is_some_and(|a| view.is_hot(a, now));
@@ -130,20 +130,20 @@
     let limit_ms = params.limit_ms();
     // After the load the prompt is still to be prefilled.
     let prefill_ms = plan.wait_ms as u64;
-    let request = keeper::Wish {
+    let request = keeper::PlacementRequest {
         adapter: adapter.clone(),
-        picks: plan.candidates.clone(),
+        candidates: plan.candidates.clone(),
         version: plan.min_version,
         priority: u32::from(params.priority),
-        aim_ms: params
+        objective_ms: params
             .objective_ms
             .saturating_sub(params.elapsed_ms + prefill_ms),
-        begin: Duration::from_millis(limit_ms.min(SLOT_WAIT_MS)),
-        limit: Duration::from_millis(limit_ms),
+        start_timeout: Duration::from_millis(limit_ms.min(SLOT_WAIT_MS)),
+        total_timeout: Duration::from_millis(limit_ms),
     };
     // Shows other requests the slot that this one is about to take.
     let pending = PendingLoad::begin(node, &plan.target.id, &adapter, plan.unread_tokens);
-    let placed = keeper::ensure(node, request).await;
+    let placed = keeper::place_adapter(node, request).await;
     drop(pending);
     placed.map_err(|e| BindError::NoEngine {
         reason: e.why,
--- a/crates/comfreyhall-node/src/bind/mod.rs
+++ b/crates/comfreyhall-node/src/bind/mod.rs
@@ -127,13 +127,13 @@
         true => params.limit_ms() + RETURN_ALLOWANCE_MS,
         false => ANSWER_TIMEOUT_MS,
     };
-    let call = client.bind(wire::ask(node.fleet.peer(), &params));
+    let call = client.bind(wire::ask(node.fleet.peer_addr(), &params));
     let why = match tokio::time::timeout(Duration::from_millis(limit), call).await {
         Ok(Ok(reply)) => return wire::reply(reply.into_inner()),
         Ok(Err(status)) => status.message().to_string(),
         Err(_) => "no answer in time".to_string(),
     };
     log::info!(target: "bind", peer:% = holder, group:% = params.group, run = params.run, waits = params.may_wait, why; "holder not heard");
-    node.fleet.mute(&holder, node.now());
+    node.fleet.suspend_holder(&holder, node.now());
     Err(BindError::NoAnswer)
 }
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Name, Part, Tokens};
+use comfreyhall_domain::{AdapterRef, Name, PromptSegment, TokenCounts};
 use comfreyhall_protocol::{BindReply, BindRequest, PromptPart};
 
 use super::{BindError, BindParams, Binding, here};
@@ -27,7 +27,7 @@
         adapter: name.unwrap_or("").to_string(),
         version: params.min_version,
         prompt_tokens: requirements.tokens.map_or(0, |t| t.prompt),
-        output_tokens: requirements.tokens.map_or(0, |t| t.output),
+        output_tokens: requirements.tokens.map_or(0, |t| t.max_output),
         parts: parts.collect(),
         priority: u32::from(params.priority),
         aim_ms: params.objective_ms,
@@ -42,7 +42,7 @@
 
 fn from_wire(message: &BindRequest) -> BindParams {
     let names = |all: &[String]| all.iter().map(|n| Name::from(n.as_str())).collect();
-    let parts = message.parts.iter().map(|p| Part {
+    let parts = message.parts.iter().map(|p| PromptSegment {
         id: p.id,
         tokens: p.tokens,
     });
@@ -51,9 +51,9 @@
             model: message.model.as_str().into(),
             adapter: (!message.adapter.is_empty()).then(|| message.adapter.as_str().into()),
         }),
-        tokens: Some(Tokens {
+        tokens: Some(TokenCounts {
             prompt: message.prompt_tokens,
-            output: message.output_tokens,
+            max_output: message.output_tokens,
         }),
         parts: parts.collect(),
     };
@@ -90,16 +90,21 @@
         Ok(binding) => {
             let now = node.now();
             let ahead =
-                node.view().board.work(&binding.target, now).prefill + binding.unread_tokens;
+                node
+                .view()
+                .board
+                .total_work(&binding.target, now)
+                .prefill_tokens
+                + binding.unread_tokens;
             let counted = Run {
                 target: binding.target.clone(),
                 group,
                 adapter,
-                unread: binding.unread_tokens,
-                ahead,
-                bound: now,
+                unread_tokens: binding.unread_tokens,
+                queued_tokens: ahead,
+                bound_at_ms: now,
             };
-            node.fleet.bound(node, &message.from, run, counted);
+            node.fleet.add_bound_run(node, &message.from, run, counted);
             BindReply {
                 target: binding.target.to_string(),
                 version: binding.version,
--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -18,12 +18,13 @@
 use comfreyhall_domain::{Config, Map, Name};
 use comfreyhall_settings::CapWay;
 use comfreyhall_workspace::{
-    Basis, Granting, Home, Kept, Lending, Meter, Sharing, Taken, Tolerance,
+    GrantingLimiter, LendingLimiter, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter,
+    ReserveOutcome, SharingLimiter, Tolerance,
 };
 use tokio::sync::Notify;
 
 pub(crate) use self::{
-    settle::{spawn, tell_home},
+    settle::{notify_coordinator, spawn},
     wire::answer,
 };
 use crate::{clock, leases, node::Node, outbound};
@@ -36,28 +37,28 @@
 
 /// What caps bound the use of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Of {
+pub(crate) enum QuotaKind {
     /// Workspaces, as configured.
     Workspaces,
     /// Targets, as they say themselves.
     Targets,
 }
 
-impl Of {
+impl QuotaKind {
     /// Longest that a request waits for the answer of a home, in ms: it takes
     /// some ms, and some tens on a busy core. A request that gets no credit of
     /// one target has others to go to.
     fn answer_ms(self) -> u64 {
         match self {
-            Of::Workspaces => 250,
-            Of::Targets => 100,
+            QuotaKind::Workspaces => 250,
+            QuotaKind::Targets => 100,
         }
     }
 }
 
 /// Caps of one kind as this daemon keeps them.
-pub(crate) struct Caps {
-    of: Of,
+pub(crate) struct Quotas {
+    of: QuotaKind,
     state: Mutex<State>,
     /// Told when a home has answered.
     settled: Notify,
@@ -65,31 +66,31 @@
 
 #[derive(Default)]
 struct State {
-    meter: Option<Box<dyn Meter>>,
+    meter: Option<Box<dyn RateLimiter>>,
     /// The configuration that the meter has, and over which groups it is spread.
     version: u64,
     groups: Vec<Name>,
     /// Limits that the meter of targets has.
-    limits: Map<Name, Kept>,
+    limits: Map<Name, PlacedQuota>,
 }
 
 /// Why a request gets no credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum QuotaError {
     /// Its workspace is over its cap.
-    Over {
+    Exceeded {
         /// Until there is room for it, in ms.
         retry_ms: u64,
     },
     /// Nobody in hearing knows how much the others use.
-    Unsure {
+    Unknown {
         /// Until that may be known, in ms.
         retry_ms: u64,
     },
 }
 
-impl Caps {
-    pub(crate) fn new(of: Of) -> Self {
+impl Quotas {
+    pub(crate) fn new(of: QuotaKind) -> Self {
         Self {
             of,
             state: Mutex::default(),
@@ -105,43 +106,46 @@
     pub(crate) fn in_use(&self) -> bool {
         let state = self.state();
         match self.of {
-            Of::Workspaces => state.meter.is_some(),
-            Of::Targets => !state.limits.is_empty(),
+            QuotaKind::Workspaces => state.meter.is_some(),
+            QuotaKind::Targets => !state.limits.is_empty(),
         }
     }
 
     /// Sees that the meter has the caps of `config`.
-    pub(crate) fn catch_up(&self, node: &Node, config: &Config) {
+    pub(crate) fn sync_config(&self, node: &Node, config: &Config) {
         if self.state().version != config.version {
             refresh(node, self.of);
         }
     }
 
     /// Ms until asking for a unit of `name` is of use.
-    pub(crate) fn closed_ms(&self, name: &str, now: u64) -> u64 {
+    pub(crate) fn unavailable_ms(&self, name: &str, now: u64) -> u64 {
         let state = self.state();
         let meter = state.meter.as_ref();
-        meter.map_or(0, |m| m.closed_ms(name, 1, now))
+        meter.map_or(0, |m| m.retry_after_ms(name, 1, now))
     }
 
     /// Whether more of `name` could be used than is, as far as is known here.
-    pub(crate) fn spare(&self, name: &str, now: u64) -> bool {
+    pub(crate) fn has_spare(&self, name: &str, now: u64) -> bool {
         let state = self.state();
-        state.meter.as_ref().is_some_and(|m| m.spare(name, now))
+        state
+            .meter
+            .as_ref()
+            .is_some_and(|m| m.has_surplus(name, now))
     }
 
     /// Takes a unit of `name` if it is to be had here and now.
-    pub(crate) fn take_here(&self, name: &str, now: u64) -> bool {
+    pub(crate) fn take_local(&self, name: &str, now: u64) -> bool {
         let mut state = self.state();
-        let taken = state.meter.as_mut().map(|m| m.take(name, 1, now));
-        taken == Some(Taken::Granted)
+        let taken = state.meter.as_mut().map(|m| m.try_reserve(name, 1, now));
+        taken == Some(ReserveOutcome::Granted)
     }
 
     /// What a refusal by the cap of `name` rests on.
-    pub(crate) fn basis(&self, name: &str, now: u64) -> Basis {
+    pub(crate) fn basis(&self, name: &str, now: u64) -> QuotaSnapshot {
         let state = self.state();
         let meter = state.meter.as_ref();
-        meter.map_or_else(Basis::default, |m| m.basis(name, now))
+        meter.map_or_else(QuotaSnapshot::default, |m| m.snapshot(name, now))
     }
 }
 
@@ -155,10 +159,10 @@
 }
 
 /// Gives the meter the caps in force, if it has others.
-pub(crate) fn refresh(node: &Node, of: Of) {
+pub(crate) fn refresh(node: &Node, of: QuotaKind) {
     match of {
-        Of::Workspaces => refresh_workspaces(node),
-        Of::Targets => refresh_targets(node),
+        QuotaKind::Workspaces => refresh_workspaces(node),
+        QuotaKind::Targets => refresh_targets(node),
     }
 }
 
@@ -175,12 +179,12 @@
     }
     let meter = state.meter.get_or_insert_with(|| {
         let me = me(node);
-        Box::new(Granting::new(me))
+        Box::new(GrantingLimiter::new(me))
     });
-    meter.keep(limits.clone(), &groups, now);
+    meter.set_quotas(limits.clone(), &groups, now);
     state.limits = limits;
     state.groups = groups;
-    meet(node, Of::Targets, &mut state);
+    meet(node, QuotaKind::Targets, &mut state);
 }
 
 fn refresh_workspaces(node: &Node) {
@@ -201,26 +205,26 @@
     meter.configure(workspaces, &groups, now);
     state.version = config.version;
     state.groups = groups;
-    meet(node, Of::Workspaces, &mut state);
+    meet(node, QuotaKind::Workspaces, &mut state);
 }
 
 /// Tells the meter who is there.
-fn meet(node: &Node, of: Of, state: &mut State) {
+fn meet(node: &Node, of: QuotaKind, state: &mut State) {
     let met = settle::homes(node, of, &state.groups);
     if let Some(meter) = &mut state.meter {
-        meter.meet(&met.homes, met.fleet, node.now());
+        meter.update_fleet(&met.homes, met.fleet, node.now());
     }
 }
 
 /// This process, as a home.
-fn me(node: &Node) -> Home {
-    Home {
-        peer: node.fleet.peer().into(),
+fn me(node: &Node) -> PeerProcess {
+    PeerProcess {
+        peer_addr: node.fleet.peer_addr().into(),
         boot: node.fleet.boot(),
     }
 }
 
-fn meter(node: &Node) -> Box<dyn Meter> {
+fn meter(node: &Node) -> Box<dyn RateLimiter> {
     let settings = node.settings();
     let tolerance = Tolerance {
         window_ms: (settings.caps.window_s * 1_000.0) as u64,
@@ -229,52 +233,56 @@
     };
     let me = me(node);
     match settings.caps.way {
-        CapWay::Lending => Box::new(Lending::new(me, tolerance, clock::now())),
-        CapWay::Sharing => Box::new(Sharing::new(me, tolerance)),
+        CapWay::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
+        CapWay::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
     }
 }
 
 /// Takes credit of `size` units of `name` for a request.
 pub(crate) async fn reserve(
     node: &Arc<Node>,
-    of: Of,
+    of: QuotaKind,
     name: &Name,
     size: u64,
-) -> Result<Credit, Refused> {
+) -> Result<Credit, QuotaError> {
     let caps = node.quotas_of(of);
     let began = node.now();
     if let Some(meter) = &mut caps.state().meter {
-        meter.ask(name, size, began);
+        meter.record_demand(name, size, began);
     }
     let until = began + of.answer_ms();
     loop {
         let now = node.now();
         let taken = match &mut caps.state().meter {
-            Some(meter) => meter.take(name, size, now),
-            None => Taken::Unsure {
+            Some(meter) => meter.try_reserve(name, size, now),
+            None => ReserveOutcome::UsageUnknown {
                 retry_ms: of.answer_ms(),
             },
         };
         match taken {
-            Taken::Granted => return Ok(Credit::new(node, of, name, size)),
-            Taken::Over { retry_ms } => return Err(Refused::Over { retry_ms }),
-            Taken::Ask(call) => {
+            ReserveOutcome::Granted => return Ok(Credit::new(node, of, name, size)),
+            ReserveOutcome::OverQuota { retry_ms } => {
+                return Err(QuotaError::Exceeded { retry_ms });
+            }
+            ReserveOutcome::Pending(call) => {
                 if !answered(node, of, name, call, until).await {
-                    return Err(Refused::Unsure { retry_ms: LOOK_MS });
+                    return Err(QuotaError::Unknown { retry_ms: LOOK_MS });
                 }
             }
-            Taken::Unsure { retry_ms } if now + retry_ms <= until && now < until => {
+            ReserveOutcome::UsageUnknown { retry_ms } if now + retry_ms <= until && now < until => {
                 let pause = LOOK_MS.min(until - now);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
-            Taken::Unsure { retry_ms } => return Err(Refused::Unsure { retry_ms }),
+            ReserveOutcome::UsageUnknown { retry_ms } => {
+                return Err(QuotaError::Unknown { retry_ms });
+            }
         }
     }
 }
 
 /// Waits until the home of `name` has answered `call`, at most until `until`;
 /// false if it has not.
-async fn answered(node: &Arc<Node>, of: Of, name: &str, call: u64, until: u64) -> bool {
+async fn answered(node: &Arc<Node>, of: QuotaKind, name: &str, call: u64, until: u64) -> bool {
     let caps = node.quotas_of(of);
     loop {
         let settled = caps.settled.notified();
@@ -282,8 +290,8 @@
         settled.as_mut().enable();
         let done = match &caps.state().meter {
             Some(meter) => {
-                let group = meter.group(name);
-                group.is_none_or(|g| meter.answered(&g) >= call)
+                let group = meter.quota_group(name);
+                group.is_none_or(|g| meter.last_answered(&g) >= call)
             }
             None => true,
         };
@@ -301,7 +309,7 @@
 /// Credit of one request; what was not sent goes back when it is dropped.
 pub(crate) struct Credit {
     node: Arc<Node>,
-    of: Of,
+    of: QuotaKind,
     name: Name,
     size: u64,
     sent: bool,
@@ -310,10 +318,10 @@
 impl Credit {
     /// Credit that was granted elsewhere for this request.
     pub(crate) fn granted(node: &Arc<Node>, target: &Name) -> Self {
-        Self::new(node, Of::Targets, target, 1)
+        Self::new(node, QuotaKind::Targets, target, 1)
     }
 
-    fn new(node: &Arc<Node>, of: Of, name: &Name, size: u64) -> Self {
+    fn new(node: &Arc<Node>, of: QuotaKind, name: &Name, size: u64) -> Self {
         Self {
             node: node.clone(),
             of,
@@ -324,21 +332,21 @@
     }
 
     /// The request is about to be sent. Its own repeats cost no more.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         if !std::mem::replace(&mut self.sent, true) {
-            self.with(|meter, name, size| meter.sent(name, size));
+            self.with(|meter, name, size| meter.mark_sent(name, size));
         }
     }
 
     /// The request has surely not run and is not sent any more.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn refund(mut self) {
         if std::mem::replace(&mut self.sent, false) {
-            self.with(|meter, name, size| meter.not_run(name, size));
+            self.with(|meter, name, size| meter.refund(name, size));
             self.size = 0;
         }
     }
 
-    fn with(&self, act: impl FnOnce(&mut dyn Meter, &str, u64)) {
+    fn with(&self, act: impl FnOnce(&mut dyn RateLimiter, &str, u64)) {
         if let Some(meter) = &mut self.node.quotas_of(self.of).state().meter {
             act(meter.as_mut(), &self.name, self.size);
         }
@@ -348,7 +356,7 @@
 impl Drop for Credit {
     fn drop(&mut self) {
         if !self.sent && self.size > 0 {
-            self.with(|meter, name, size| meter.unsent(name, size));
+            self.with(|meter, name, size| meter.release_unsent(name, size));
         }
     }
 }
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -3,9 +3,9 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{Map, Name};
-use comfreyhall_workspace::{Call, Fleet, Home};
+use comfreyhall_workspace::{FleetView, PeerProcess, SettleRequest};
 
-use super::{Caps, Of, me, refresh, wire};
+use super::{QuotaKind, Quotas, me, refresh, wire};
 use crate::{leases, node::Node, outbound};
 
 /// Pause between looks at which homes are due.
@@ -24,7 +24,7 @@
     tokio::spawn(async move {
         loop {
             outbound::sweep(&node);
-            for of in [Of::Workspaces, Of::Targets] {
+            for of in [QuotaKind::Workspaces, QuotaKind::Targets] {
                 refresh(&node, of);
                 let caps = node.quotas_of(of);
                 if caps.in_use() {
@@ -42,16 +42,16 @@
 
 /// Who is there, as the meter is told.
 pub(super) struct Met {
-    pub(super) homes: Map<Name, Home>,
-    pub(super) fleet: Fleet,
+    pub(super) homes: Map<Name, PeerProcess>,
+    pub(super) fleet: FleetView,
 }
 
-fn meet(node: &Node, caps: &Caps) {
+fn meet(node: &Node, caps: &Quotas) {
     let groups = caps.state().groups.clone();
     let met = homes(node, caps.of, &groups);
     let now = node.now();
     if let Some(meter) = &mut caps.state().meter {
-        meter.meet(&met.homes, met.fleet, now);
+        meter.update_fleet(&met.homes, met.fleet, now);
     }
 }
 
@@ -60,50 +60,53 @@
 ///
 /// Limits of targets rest on there being one home at a time, so where there are
 /// leases nobody stands in for their holders.
-pub(super) fn homes(node: &Node, of: Of, groups: &[Name]) -> Met {
+pub(super) fn homes(node: &Node, of: QuotaKind, groups: &[Name]) -> Met {
     let now = node.now();
-    let stands_in = of == Of::Workspaces || leases::groups(node).is_empty();
+    let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.first_for(group, now) {
         Some(peer) => Some(peer),
-        None => (of == Of::Targets).then(|| node.fleet.peer().into()),
+        None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
     let home = |group: &Name| match node.token(group) {
         Some(_) => Some(me(node)),
         None => {
             let peer = node.fleet.holder(group, now);
             let peer = peer.or_else(|| first(group).filter(|_| stands_in))?;
-            if *peer == *node.fleet.peer() {
+            if *peer == *node.fleet.peer_addr() {
                 return Some(me(node));
             }
             let boot = node.fleet.boot_of(&peer)?;
-            Some(Home { peer, boot })
+            Some(PeerProcess {
+                peer_addr: peer,
+                boot,
+            })
         }
     };
     let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
     let homes = homes.collect();
     let members = node.fleet.members(now);
-    let stale = node.view().records.in_force.age(now) > STALE_MS;
+    let stale = node.view().records.settings_sync.age_ms(now) > STALE_MS;
     Met {
         homes,
-        fleet: Fleet {
+        fleet: FleetView {
             members: members.unwrap_or(0),
-            certain: members.is_some(),
+            confirmed: members.is_some(),
             stale,
         },
     }
 }
 
 /// Calls the homes that are due.
-pub(super) fn settle_due(node: &Arc<Node>, of: Of) {
+pub(super) fn settle_due(node: &Arc<Node>, of: QuotaKind) {
     let now = node.now();
-    let calls: Vec<(Name, Home, Call)> = {
+    let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
         let mut state = node.quotas_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
-        let due = meter.due(now).into_iter();
+        let due = meter.due_settlements(now).into_iter();
         let calls = due.map(|(group, home)| {
-            let call = meter.call(&group, &home, now);
+            let call = meter.settle_request(&group, &home, now);
             (group, home, call)
         });
         calls.collect()
@@ -114,7 +117,7 @@
 }
 
 /// Calls the home of `group`, whether or not it is due.
-pub(crate) fn tell_home(node: &Arc<Node>, of: Of, group: Name) {
+pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
     let now = node.now();
     let mut met = homes(node, of, std::slice::from_ref(&group));
     let Some(home) = met.homes.remove(&group).filter(|h| *h != me(node)) else {
@@ -125,13 +128,19 @@
         let Some(meter) = &mut state.meter else {
             return;
         };
-        meter.call(&group, &home, now)
+        meter.settle_request(&group, &home, now)
     };
     tokio::spawn(settle(node.clone(), of, group, home, call));
 }
 
-async fn settle(node: Arc<Node>, of: Of, group: Name, home: Home, call: Call) {
-    let reply = match node.fleet.client(&home.peer) {
+async fn settle(
+    node: Arc<Node>,
+    of: QuotaKind,
+    group: Name,
+    home: PeerProcess,
+    call: SettleRequest,
+) {
+    let reply = match node.fleet.client(&home.peer_addr) {
         Some(mut client) => {
             let answer = client.settle(wire::call(&node, of, &call));
             tokio::time::timeout(CALL_TIMEOUT, answer).await
@@ -141,20 +150,20 @@
     let (reply, ended) = match reply {
         Ok(Ok(reply)) => (Some(wire::from_reply(&node, reply.into_inner())), false),
         Ok(Err(status)) => {
-            log::debug!(target: "caps", peer:% = home.peer, group:%, error:% = status.message(); "home not reached");
+            log::debug!(target: "caps", peer:% = home.peer_addr, group:%, error:% = status.message(); "home not reached");
             (None, refused(&status))
         }
         Err(_) => {
-            log::debug!(target: "caps", peer:% = home.peer, group:%; "home silent");
+            log::debug!(target: "caps", peer:% = home.peer_addr, group:%; "home silent");
             (None, false)
         }
     };
     let now = node.now();
     let caps = node.quotas_of(of);
     if let Some(meter) = &mut caps.state().meter {
-        meter.heard(&group, &home, reply.as_ref(), now);
+        meter.handle_reply(&group, &home, reply.as_ref(), now);
         if ended {
-            meter.ended(&home);
+            meter.process_ended(&home);
         }
     }
     caps.settled.notify_waiters();
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -2,16 +2,19 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{AdapterRef, Ask, Engine, Kind, Map, Name, Part, Route, Target, Tokens};
-use comfreyhall_placement::PlaceTime;
+use comfreyhall_domain::{
+    AdapterRef, ClientRequest, EngineConfig, Map, Name, PromptSegment, Route, RouteKind, Target,
+    TokenCounts,
+};
+use comfreyhall_placement::SlotTimePrice;
 use comfreyhall_routing::{
-    pick,
-    pick::{Choice, Spread},
+    selection,
+    selection::{Candidate, Spread},
 };
 
 use crate::{
     flight::RunHandle,
-    keeper::Pick,
+    keeper::EngineCandidate,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
 };
@@ -60,18 +63,18 @@
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
     /// Prompt and output tokens.
-    pub(crate) tokens: Option<Tokens>,
+    pub(crate) tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) parts: Vec<PromptSegment>,
 }
 
 impl Requirements {
     /// The requirements of `ask`.
-    pub(crate) fn of(ask: &Ask) -> Self {
+    pub(crate) fn of(ask: &ClientRequest) -> Self {
         Self {
             adapter: ask.adapter.clone(),
             tokens: ask.tokens,
-            parts: ask.parts.clone(),
+            parts: ask.prompt_segments.clone(),
         }
     }
 
@@ -101,7 +104,7 @@
     /// Whether the adapter has to be loaded first.
     pub(crate) needs_load: bool,
     /// Engines that may load it, best first, for the lease holder.
-    pub(crate) candidates: Vec<Pick>,
+    pub(crate) candidates: Vec<EngineCandidate>,
     /// The run that the lease holder has bound to the target.
     pub(crate) run_handle: Option<RunHandle>,
     /// Whether the lease holder has granted it a part of the target's limit.
@@ -117,7 +120,7 @@
     /// Restricts the choice to the engines of this group, whose lease this daemon
     /// holds and of which it knows every run.
     pub(crate) group: Option<&'a str>,
-    pub(crate) engine: Option<&'a Engine>,
+    pub(crate) engine: Option<&'a EngineConfig>,
     /// Targets that have already received it.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
@@ -129,7 +132,7 @@
 
 impl Criteria<'_> {
     fn allows(&self, target: &Target) -> bool {
-        self.group.is_none_or(|g| *target.domain == *g)
+        self.group.is_none_or(|g| *target.failure_domain == *g)
             && !self.unavailable.contains(&target.id)
             && (!self.only_tried || self.tried.contains(&target.id))
     }
@@ -147,15 +150,15 @@
         .into_iter()
         .filter(|t| criteria.allows(t) && !unavailable.blocks_sends(&t.id))
         .collect();
-    let base = |t: &Target| Choice {
+    let base = |t: &Target| Candidate {
         id: t.id.clone(),
-        near: t.domain == settings.domain || !policies.near_first,
+        same_domain: t.failure_domain == settings.domain || !policies.near_first,
         wait_ms: 0.0,
         load_ms: 0.0,
-        stored: false,
+        from_store: false,
         evicts: false,
-        beside_ms: 0.0,
-        health: match policies.outliers {
+        interference_ms: 0.0,
+        success_rate: match policies.outliers {
             true => view.board.health(&t.id, now),
             false => 1.0,
         },
@@ -176,8 +179,8 @@
             (options.open, version)
         }
         _ => {
-            let plain = |t: &Arc<Target>| Choice {
-                wait_ms: view.board.plain_ms(&t.id, t.slots, now),
+            let plain = |t: &Arc<Target>| Candidate {
+                wait_ms: view.board.plain_ms(&t.id, t.max_running, now),
                 ..base(t)
             };
             (targets.iter().map(plain).collect(), 0)
@@ -188,7 +191,7 @@
         true => Spread::Stale(STALE_SPREAD_MS),
         false => Spread::Equal,
     };
-    let best = pick::best(&choices, again_ms, spread, criteria.seed)?;
+    let best = selection::select(&choices, again_ms, spread, criteria.seed)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let needs_load = best.load_ms > 0.0;
     let candidates = match needs_load && criteria.group.is_some() {
@@ -211,13 +214,13 @@
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn candidates(best: &Choice, loaders: &[Choice], again_ms: f64) -> Vec<Pick> {
+fn candidates(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<EngineCandidate> {
     let others = loaders.iter().filter(|c| c.id != best.id);
-    let others = others.map(|c| Pick {
+    let others = others.map(|c| EngineCandidate {
         target: c.id.clone(),
-        extra_ms: (c.cost(again_ms) - best.cost(again_ms)).max(0.0) as u64,
+        extra_ms: (c.cost_ms(again_ms) - best.cost_ms(again_ms)).max(0.0) as u64,
     });
-    let first = Pick {
+    let first = EngineCandidate {
         target: best.id.clone(),
         extra_ms: 0,
     };
@@ -239,14 +242,14 @@
     let Some(adapter) = &requirements.adapter else {
         return 0;
     };
-    let kept = view.prefixes.kept(adapter, &requirements.parts, target);
+    let kept = view.prefixes.cached_tokens(adapter, &requirements.parts, target);
     requirements.prompt().saturating_sub(kept).max(1)
 }
 
 /// What an engine must have for a request.
 struct EngineNeeds<'a> {
     adapter: &'a AdapterRef,
-    engine: &'a Engine,
+    engine: &'a EngineConfig,
     /// Minimum version of the adapter; 0 for any.
     version: u64,
 }
@@ -254,9 +257,9 @@
 /// Engines for a request.
 struct EngineChoices {
     /// Engines to choose from.
-    open: Vec<Choice>,
+    open: Vec<Candidate>,
     /// All engines that lack its adapter and may load it.
-    loaders: Vec<Choice>,
+    loaders: Vec<Candidate>,
 }
 
 fn engine_choices(
@@ -266,7 +269,7 @@
     needs: EngineNeeds<'_>,
     targets: &[Arc<Target>],
     unavailable: &UnavailableTargets,
-    base: &impl Fn(&Target) -> Choice,
+    base: &impl Fn(&Target) -> Candidate,
 ) -> EngineChoices {
     let EngineNeeds {
         adapter,
@@ -274,25 +277,25 @@
         version,
     } = needs;
     let now = node.now();
-    let key = crate::fleet::key_of(adapter);
+    let key = crate::fleet::adapter_key(adapter);
     let in_use = node.fleet.in_use(now);
-    let used = node.fleet.used(now);
+    let used = node.fleet.reported_in_use(now);
     let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, criteria, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
-    let at_home = criteria.group.is_some() || targets.iter().any(|t| t.domain == domain);
-    let resident = |t: &Target| view.residency.version(adapter, &t.id);
+    let at_home = criteria.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
+    let resident = |t: &Target| view.residency.held_version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
     let reader = match policies.shared_prompts {
-        true => pick::reader(&key, &criteria.requirements.parts, holders),
+        true => selection::prefix_engine(&key, &criteria.requirements.parts, holders),
         false => None,
     };
-    let mut loaders: Vec<(bool, u64, Choice)> = Vec::new();
+    let mut loaders: Vec<(bool, u64, Candidate)> = Vec::new();
     let mut out = Vec::new();
-    for t in targets.iter().filter(|t| t.holds(&adapter.model)) {
+    for t in targets.iter().filter(|t| t.has_model(&adapter.model)) {
         let mut choice = base(t);
         let mut tokens = unread(view, criteria.requirements, &t.id);
         if reader == Some(&t.id) {
@@ -300,13 +303,13 @@
         }
         choice.wait_ms = view.board.prefill_ms(&t.id, tokens, now);
         if let Some(prices) = prices {
-            let streams = view.board.work(&t.id, now).running;
-            let reading = view.board.reading_ms(tokens as f64);
-            choice.beside_ms = prices.reading_ms(reading, streams);
+            let streams = view.board.total_work(&t.id, now).requests;
+            let reading = view.board.read_duration_ms(tokens as f64);
+            choice.interference_ms = prices.read_cost_ms(reading, streams);
         }
-        let remote = hot && at_home && criteria.group.is_none() && t.domain != domain;
+        let remote = hot && at_home && criteria.group.is_none() && t.failure_domain != domain;
         if remote {
-            choice.beside_ms += REMOTE_DOMAIN_COST_MS;
+            choice.interference_ms += REMOTE_DOMAIN_COST_MS;
         }
         let resident = resident(t);
         let held = adapter.adapter.is_none() || resident.is_some_and(|v| v >= version);
@@ -323,19 +326,20 @@
         if remote || unavailable.blocks_loads(&t.id) {
             continue;
         }
-        let held_lease = node.token(&t.domain).is_some();
-        if !held_lease && node.fleet.holder(&t.domain, now).is_none() {
+        let held_lease = node.token(&t.failure_domain).is_some();
+        if !held_lease && node.fleet.holder(&t.failure_domain, now).is_none() {
             continue;
         }
-        let recent = view.residency.recent(adapter, &t.id, now);
-        choice.load_ms = node.controllers.load_ms(recent);
+        let recent = view.residency.likely_cached(adapter, &t.id, now);
+        choice.load_ms = node.controllers.expected_load_ms(recent);
         // A copy of a hot adapter serves many requests, not one.
-        choice.stored = !recent && !hot && policies.spare_store;
-        choice.evicts =
-            policies.spare_places && !hot && view.residency.count(&t.id) >= engine.places;
+        choice.from_store = !recent && !hot && policies.spare_store;
+        choice.evicts = policies.spare_places
+            && !hot
+            && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
         let told = used.get(&t.id).copied().unwrap_or(0);
-        let full = known.max(told) >= engine.places;
+        let full = known.max(told) >= engine.adapter_slots;
         if full {
             choice.load_ms += FULL_ENGINE_WAIT_MS;
         }
@@ -344,7 +348,7 @@
         let rank = if recent {
             0
         } else {
-            pick::home_rank(&key, &t.id)
+            selection::rendezvous_rank(&key, &t.id)
         };
         loaders.push((full && !recent, rank, choice));
     }
@@ -354,7 +358,7 @@
     } else {
         out.len().max(MIN_NEW_HOMES)
     };
-    let loaders: Vec<Choice> = loaders.into_iter().map(|(_, _, c)| c).collect();
+    let loaders: Vec<Candidate> = loaders.into_iter().map(|(_, _, c)| c).collect();
     out.extend(loaders.iter().take(homes).cloned());
     EngineChoices { open: out, loaders }
 }
@@ -364,17 +368,17 @@
     node: &Node,
     view: &View,
     criteria: &Criteria<'_>,
-    engine: &Engine,
+    engine: &EngineConfig,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
-) -> Option<PlaceTime> {
+) -> Option<SlotTimePrice> {
     criteria.group.filter(|_| node.policies().place_time)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
-    let all = engine.places * targets.len() as u32;
-    Some(PlaceTime::new(
+    let all = engine.adapter_slots * targets.len() as u32;
+    Some(SlotTimePrice::new(
         used as u32,
         all,
         view.hold,
@@ -384,5 +388,5 @@
 
 /// Whether a hung send may be abandoned for another.
 pub(crate) fn repeatable(route: &Route) -> bool {
-    route.repeatable() && route.attempts > 1 && route.kind != Kind::Unsafe
+    route.repeatable() && route.max_attempts > 1 && route.kind != RouteKind::NonIdempotent
 }
--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -6,8 +6,8 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{Config, Map, Name, Ranks, Stage, Target};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_domain::{Config, Map, Name, PriorityTable, Stage, Target};
+use comfreyhall_inforce::{SettingsTracker, Source};
 
 use crate::{
     node::{NamedVersion, Node, View},
@@ -16,18 +16,18 @@
 
 /// Rows of one topic by key.
 #[derive(Debug, Default)]
-pub(crate) struct Shelf {
+pub(crate) struct TopicRows {
     pub(crate) rows: Map<Name, Record>,
     /// Version at which each row last changed in what peers must know.
     pub(crate) news: Map<Name, u64>,
     /// Newest version covered.
     pub(crate) version: u64,
     /// When the store said what is known here, to us or to a peer; of the settings
-    /// [`InForce`] knows it.
+    /// [`SettingsTracker`] knows it.
     pub(crate) as_of: u64,
 }
 
-impl Shelf {
+impl TopicRows {
     /// Ms since the store said what is known here; the most there is if it
     /// never did.
     pub(crate) fn age(&self, now: u64) -> u64 {
@@ -45,15 +45,15 @@
 
 /// The rows of all topics.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
-    pub(crate) settings: Shelf,
-    pub(crate) targets: Shelf,
+pub(crate) struct FactStore {
+    pub(crate) settings: TopicRows,
+    pub(crate) targets: TopicRows,
     /// How far the settings reach.
-    pub(crate) in_force: InForce,
+    pub(crate) settings_sync: SettingsTracker,
 }
 
-impl Book {
-    pub(crate) fn shelf(&mut self, topic: Topic) -> &mut Shelf {
+impl FactStore {
+    pub(crate) fn topic_rows(&mut self, topic: Topic) -> &mut TopicRows {
         match topic {
             Topic::Settings => &mut self.settings,
             Topic::Targets => &mut self.targets,
@@ -64,14 +64,14 @@
 /// Where rows came from, and when they were asked for.
 #[derive(Debug)]
 pub(crate) struct Provenance {
-    pub(crate) way: Way,
+    pub(crate) way: Source,
     pub(crate) asked: u64,
 }
 
 impl Provenance {
     /// The store's answer to a call that began at `asked`.
     pub(crate) fn store(asked: u64) -> Self {
-        let way = Way::Store;
+        let way = Source::Store;
         Self { way, asked }
     }
 }
@@ -80,20 +80,22 @@
 pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.records.shelf(topic);
+    let shelf = view.records.topic_rows(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.records.shelf(topic).rows.get(&fact.key);
+        let known = view.records.topic_rows(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.records.in_force.take(fact.version, way, *asked, now);
+            view.records
+                .settings_sync
+                .apply(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.records.shelf(topic);
+        let shelf = view.records.topic_rows(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -135,9 +137,9 @@
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
             tell_in_force(node, view, &config, fact);
-            view.records.in_force.set_readable(true);
+            view.records.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
-            view.ranks = Ranks::of(&config);
+            view.ranks = PriorityTable::from_config(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
@@ -159,7 +161,7 @@
             if !view.targets.contains_key(&target.id)
                 && let Some(known) = view.boot_of(&target.name)
             {
-                if known.born > target.born {
+                if known.started_at_ms > target.started_at_ms {
                     log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot passed over");
                     return false;
                 }
@@ -175,7 +177,7 @@
                 log::info!(target: "follow", id:% = target.id, service:% = target.service, stage, row = fact.version; "target");
             }
             let news = known.is_none_or(|t| !same(t, &target));
-            view.residency.publish(&target, now);
+            view.residency.apply_report(&target, now);
             view.targets.insert(target.id.clone(), Arc::new(target));
             return news;
         }
@@ -184,7 +186,7 @@
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
-                view.records.in_force.set_readable(false);
+                view.records.settings_sync.set_readable(false);
             }
             log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
         }
@@ -194,14 +196,15 @@
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
 fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Record) {
-    let Some(taken) = view.records.in_force.taken() else {
+    let Some(taken) = view.records.settings_sync.last_applied() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
-    node.metrics.settings(taken.way.kind(), bytes, taken.waited);
+    node.metrics
+        .settings(taken.source.label(), bytes, taken.waited_ms);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.records.in_force.age(taken.at);
-    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
+    let age = view.records.settings_sync.age_ms(taken.applied_at_ms);
+    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
 /// Sends nothing new to the target listed under `name`, whose entry cannot be
@@ -223,7 +226,7 @@
 
 /// Whether two entries of a target differ in nothing that routes depend on.
 fn same(a: &Target, b: &Target) -> bool {
-    let models = |t: &Target| t.held.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
+    let models = |t: &Target| t.loaded.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
 }
 
@@ -241,7 +244,7 @@
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
     let gone: Vec<Record> = {
         let mut view = node.view();
-        let rows = view.records.shelf(Topic::Targets).rows.values();
+        let rows = view.records.topic_rows(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
             .map(|f| Record {
--- a/crates/comfreyhall-node/src/flight.rs
+++ b/crates/comfreyhall-node/src/flight.rs
@@ -6,7 +6,7 @@
 use comfreyhall_domain::{AdapterRef, Name, Target};
 
 use crate::{
-    fleet::{Event, Run, What},
+    fleet::{Run, RunChange, RunUpdate},
     node::Node,
 };
 
@@ -37,7 +37,7 @@
         adapter: &AdapterRef,
         tokens: u64,
     ) -> Self {
-        node.view().board.wait(target, tokens);
+        node.view().board.load_wait_started(target, tokens);
         node.fleet.pin(target, adapter);
         Self {
             node: node.clone(),
@@ -50,7 +50,10 @@
 
 impl Drop for PendingLoad {
     fn drop(&mut self) {
-        self.node.view().board.awaited(&self.target, self.tokens);
+        self.node
+            .view()
+            .board
+            .load_wait_ended(&self.target, self.tokens);
         self.node.fleet.unpin(&self.target, &self.adapter);
     }
 }
@@ -75,19 +78,19 @@
         }
     }
 
-    fn report(&self, what: What) {
-        self.node.fleet.tell(Event {
+    fn report(&self, what: RunChange) {
+        self.node.fleet.tell(RunUpdate {
             run: self.run,
             target: self.target.id.clone(),
-            group: self.target.domain.clone(),
-            what,
+            group: self.target.failure_domain.clone(),
+            change: what,
         });
     }
 }
 
 impl Drop for RunHandle {
     fn drop(&mut self) {
-        self.report(What::Ended);
+        self.report(RunChange::Ended);
     }
 }
 
@@ -118,19 +121,19 @@
     ) -> Self {
         let now = node.now();
         let mut view = node.view();
-        view.board.begin(&target.id, tokens);
-        let ahead = view.board.work(&target.id, now).prefill;
+        view.board.request_sent(&target.id, tokens);
+        let ahead = view.board.total_work(&target.id, now).prefill_tokens;
         drop(view);
         if let Some(run_handle) = &run_handle {
             let run = Run {
                 target: target.id.clone(),
-                group: target.domain.clone(),
+                group: target.failure_domain.clone(),
                 adapter: adapter.filter(|a| a.adapter.is_some()),
-                unread: tokens,
-                ahead,
-                bound: 0,
+                unread_tokens: tokens,
+                queued_tokens: ahead,
+                bound_at_ms: 0,
             };
-            node.fleet.begin(run_handle.run, run);
+            node.fleet.start_run(run_handle.run, run);
         }
         Self {
             node: node.clone(),
@@ -150,14 +153,15 @@
         let wait_ms = now.saturating_sub(self.began_ms);
         let mut view = self.node.view();
         if self.run_handle.is_some() {
-            view.board.learn_wait(&self.target, self.backlog, wait_ms);
+            view.board
+                .record_first_token(&self.target, self.backlog, wait_ms);
         }
-        view.board.read(&self.target, self.unread_tokens);
+        view.board.prompt_read(&self.target, self.unread_tokens);
         drop(view);
         self.unread_tokens = 0;
         if let Some(run_handle) = &self.run_handle {
-            self.node.fleet.read(run_handle.run);
-            run_handle.report(What::First(wait_ms));
+            self.node.fleet.mark_prompt_read(run_handle.run);
+            run_handle.report(RunChange::FirstEvent(wait_ms));
         }
         wait_ms
     }
@@ -178,12 +182,15 @@
     /// health.
     pub(crate) fn record_outcome(&self, ok: bool, weight: f64) {
         let now = self.node.now();
-        self.node.view().board.note(&self.target, ok, weight, now);
+        self.node
+            .view()
+            .board
+            .record_outcome(&self.target, ok, weight, now);
         if let Some(run_handle) = &self.run_handle {
             run_handle.report(if ok {
-                What::Good(weight)
+                RunChange::Success(weight)
             } else {
-                What::Bad(weight)
+                RunChange::Failure(weight)
             });
         }
     }
@@ -192,11 +199,11 @@
 impl Drop for ActiveSend {
     fn drop(&mut self) {
         let mut view = self.node.view();
-        view.board.read(&self.target, self.unread_tokens);
-        view.board.end(&self.target);
+        view.board.prompt_read(&self.target, self.unread_tokens);
+        view.board.request_ended(&self.target);
         drop(view);
         if let Some(run_handle) = &self.run_handle {
-            self.node.fleet.end(run_handle.run);
+            self.node.fleet.end_run(run_handle.run);
         }
     }
 }
--- a/crates/comfreyhall-node/src/keeper/order.rs
+++ b/crates/comfreyhall-node/src/keeper/order.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name, Stage};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{IDLE_MS, Keeper, SETTLE};
 use crate::{
-    fleet::key_of,
+    fleet::adapter_key,
     leases, outbound,
     ports::{Action, Command, CommandReply},
 };
@@ -34,7 +34,7 @@
         adapter: &AdapterRef,
         version: u64,
     ) -> CommandReply {
-        let Some(token) = self.node.token(&self.target.domain) else {
+        let Some(token) = self.node.token(&self.target.failure_domain) else {
             return CommandReply::Fenced;
         };
         if self.node.draining() {
@@ -49,8 +49,8 @@
             token,
         };
         let reply = self.give(order).await;
-        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
-        self.node.metrics.order(reply.name());
+        log::debug!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), action:? = action, version, expected = self.sequence, token, reply:? = reply; "order");
+        self.node.metrics.command(reply.name());
         match &reply {
             // A load that is on its way already is accepted again without
             // counting; dropping what is unused is done at once and counts.
@@ -63,7 +63,9 @@
             }
             CommandReply::Fenced => {
                 log::warn!(target: "keeper", id:% = self.target.id, token; "engine has seen a higher token; giving it no more orders under this one");
-                self.node.leases.beat(&self.target.domain, token);
+                self.node
+                    .leases
+                    .observe_token(&self.target.failure_domain, token);
             }
             // It is not given orders again before it has reported.
             CommandReply::Unsent => self.synced = false,
@@ -73,7 +75,7 @@
                 view.unavailable_until.insert(self.target.id.clone(), until);
             }
             CommandReply::Invalid => {
-                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "order refused as invalid");
+                log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "order refused as invalid");
             }
         }
         reply
@@ -84,7 +86,7 @@
         let mut reply = CommandReply::Silent("not given".into());
         for _ in 0..ORDER_TIMES {
             // The lease may have lapsed while an answer was waited for.
-            if self.node.token(&self.target.domain) != Some(order.token) {
+            if self.node.token(&self.target.failure_domain) != Some(order.token) {
                 break;
             }
             let target = &self.target;
@@ -105,16 +107,18 @@
         self.held.remove(adapter);
         let mut view = self.node.view();
         view.residency
-            .note(adapter, &self.target.id, Standing::Absent, now);
+            .record(adapter, &self.target.id, Presence::Absent, now);
         drop(view);
-        self.node.fleet.placed(&self.target.id, adapter, None);
+        self.node
+            .fleet
+            .record_placement(&self.target.id, adapter, None);
         true
     }
 
     /// Orders a model into an engine that has none, as after a restart.
     pub(super) async fn load_model(&mut self) {
         let now = self.node.now();
-        let empty = self.target.held.is_empty() && self.held.is_empty();
+        let empty = self.target.loaded.is_empty() && self.held.is_empty();
         if !empty || now < self.model_due || self.target.stage != Stage::Ready {
             return;
         }
@@ -145,9 +149,9 @@
         let view = self.node.view();
         let config = view.config.as_ref()?;
         let engine = config.services.get(&self.target.service)?.engine.as_ref()?;
-        let holders = |name: &Name| view.targets.values().filter(|t| t.holds(name)).count();
+        let holders = |name: &Name| view.targets.values().filter(|t| t.has_model(name)).count();
         let model = engine.models.iter().min_by_key(|m| holders(&m.name))?;
-        Some((model.name.clone(), model.load_ms, engine.loads_rate))
+        Some((model.name.clone(), model.load_ms, engine.load_rate))
     }
 
     /// This daemon's part of the groups that have engines.
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -41,7 +41,7 @@
         let found = self.node.view().targets.get(&self.target.id).cloned();
         let Some(target) = found else { return false };
         self.target = target;
-        self.node.token(&self.target.domain).is_some()
+        self.node.token(&self.target.failure_domain).is_some()
     }
 
     /// Does what can be done now; returns when to look again.
@@ -59,7 +59,7 @@
         self.look_at_coming().await;
         self.renew_outdated().await;
         let now = self.node.now();
-        self.queue.sort_by_key(|j| j.waiting.rank(now));
+        self.queue.sort_by_key(|j| j.waiting.sort_key(now));
         self.full = false;
         let mut later = Vec::new();
         for job in std::mem::take(&mut self.queue) {
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -8,25 +8,25 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{AdapterRef, Config, Map, Name, Ranks, Target};
+use comfreyhall_domain::{AdapterRef, Config, Map, Name, PriorityTable, Target};
 use comfreyhall_life::{Life, Stage};
-use comfreyhall_placement::{Demand, Hold, engines_for};
-use comfreyhall_routing::{Board, Budget, Prefixes, Residency};
+use comfreyhall_placement::{Demand, HoldTime, engines_needed};
+use comfreyhall_routing::{PrefixIndex, Residency, RetryBudget, TargetStats};
 use comfreyhall_settings::{NodeSettings, Policies};
 use tokio::sync::Notify;
 
 use crate::{
-    caps::{Caps, Of},
+    caps::{QuotaKind, Quotas},
     clock,
-    facts::Book,
+    facts::FactStore,
     fleet::Fleet,
     flood::LogLimits,
-    keeper::Keepers,
+    keeper::EngineControllers,
     leases::Leases,
     metrics::Metrics,
     outbound::Outbound,
     ports::{Backend, Source},
-    quarantine::Watch,
+    quarantine::QuarantineTracker,
 };
 
 /// Half-life of the demand for an adapter, in ms: popularity in the deployments
@@ -63,7 +63,7 @@
     /// Key of the row that contains the configuration.
     pub(crate) config_key: Option<Name>,
     /// Priorities of requests by workspace and route.
-    pub(crate) ranks: Ranks,
+    pub(crate) ranks: PriorityTable,
     pub(crate) named_versions: Map<AdapterRef, NamedVersion>,
     /// Targets by the id of their boot (one start of a process).
     pub(crate) targets: Map<Name, Arc<Target>>,
@@ -72,10 +72,10 @@
     /// Until when targets are excluded that are known to be gone, restarted or
     /// unreachable, though the store still lists them.
     pub(crate) unavailable_until: Map<Name, u64>,
-    pub(crate) board: Board,
+    pub(crate) board: TargetStats,
     pub(crate) residency: Residency,
-    pub(crate) prefixes: Prefixes,
-    pub(crate) budgets: Map<Name, Budget>,
+    pub(crate) prefixes: PrefixIndex,
+    pub(crate) budgets: Map<Name, RetryBudget>,
     pub(crate) demand: Demand,
     /// The same over about a second.
     pub(crate) fast_demand: Demand,
@@ -86,8 +86,8 @@
     /// Mean prompt tokens of a request.
     pub(crate) mean_prompt: f64,
     /// How long runs hold their slots.
-    pub(crate) hold: Hold,
-    pub(crate) records: Book,
+    pub(crate) hold: HoldTime,
+    pub(crate) records: FactStore,
 }
 
 impl Default for View {
@@ -95,22 +95,22 @@
         Self {
             config: None,
             config_key: None,
-            ranks: Ranks::default(),
+            ranks: PriorityTable::default(),
             named_versions: Map::default(),
             targets: Map::default(),
             entry_errors: Map::default(),
             unavailable_until: Map::default(),
-            board: Board::default(),
+            board: TargetStats::default(),
             residency: Residency::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             budgets: Map::default(),
             demand: Demand::new(DEMAND_HALF_LIFE_MS),
             fast_demand: Demand::new(FAST_DEMAND_HALF_LIFE_MS),
             bind_demand: Demand::new(FAST_DEMAND_HALF_LIFE_MS),
             hot_until: Map::default(),
             mean_prompt: INITIAL_MEAN_PROMPT,
-            hold: Hold::default(),
-            records: Book::default(),
+            hold: HoldTime::default(),
+            records: FactStore::default(),
         }
     }
 }
@@ -118,16 +118,16 @@
 impl View {
     /// Counts `requests` for the adapter `key`.
     pub(crate) fn count_demand(&mut self, key: &str, requests: u32, now: u64) {
-        self.demand.bump(key, requests, now);
-        self.fast_demand.bump(key, requests, now);
+        self.demand.record(key, requests, now);
+        self.fast_demand.record(key, requests, now);
     }
 
     /// Counts a bind request; returns whether its adapter, `key`, is requested so
     /// often that it needs an engine in each of `groups`.
     pub(crate) fn count_bind(&mut self, key: &str, groups: usize, now: u64) -> bool {
-        self.bind_demand.bump(key, 1, now);
-        let cost_ms = self.board.reading_ms(self.mean_prompt);
-        let needed = engines_for(self.bind_demand.rate(key, now), cost_ms);
+        self.bind_demand.record(key, 1, now);
+        let cost_ms = self.board.read_duration_ms(self.mean_prompt);
+        let needed = engines_needed(self.bind_demand.rate(key, now), cost_ms);
         groups > 1 && needed as usize >= groups
     }
 
@@ -162,8 +162,8 @@
         let service = config.and_then(|c| c.services.get(&target.service));
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| {
-            let models = e.models.iter().filter(|m| target.holds(&m.name));
-            models.map(|m| e.room(m)).min().unwrap_or(0)
+            let models = e.models.iter().filter(|m| target.has_model(&m.name));
+            models.map(|m| e.max_adapters(m)).min().unwrap_or(0)
         })
     }
 
@@ -198,12 +198,12 @@
     pub(crate) life: Life,
     pub(crate) leases: Leases,
     pub(crate) fleet: Fleet,
-    pub(crate) controllers: Keepers,
+    pub(crate) controllers: EngineControllers,
     pub(crate) metrics: Metrics,
-    pub(crate) quarantine: Watch,
-    pub(crate) quotas: Caps,
+    pub(crate) quarantine: QuarantineTracker,
+    pub(crate) quotas: Quotas,
     /// Rate limits of targets.
-    pub(crate) target_limits: Caps,
+    pub(crate) target_limits: Quotas,
     pub(crate) log_limits: LogLimits,
     pub(crate) outbound: Outbound,
     /// Wakes background tasks when settings or targets change.
@@ -234,11 +234,11 @@
             backend,
             life: Life::new(),
             leases: Leases::default(),
-            controllers: Keepers::default(),
+            controllers: EngineControllers::default(),
             metrics: Metrics::new(),
-            quarantine: Watch::default(),
-            quotas: Caps::new(Of::Workspaces),
-            target_limits: Caps::new(Of::Targets),
+            quarantine: QuarantineTracker::default(),
+            quotas: Quotas::new(QuotaKind::Workspaces),
+            target_limits: Quotas::new(QuotaKind::Targets),
             log_limits: LogLimits::default(),
             outbound: Outbound::default(),
             changed: Notify::new(),
@@ -268,10 +268,10 @@
     }
 
     /// The quotas of one kind.
-    pub(crate) fn quotas_of(&self, of: Of) -> &Caps {
+    pub(crate) fn quotas_of(&self, of: QuotaKind) -> &Quotas {
         match of {
-            Of::Workspaces => &self.quotas,
-            Of::Targets => &self.target_limits,
+            QuotaKind::Workspaces => &self.quotas,
+            QuotaKind::Targets => &self.target_limits,
         }
     }
 
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -2,20 +2,20 @@
 //! together.
 //!
 //! The holder of a group's lease grants the capacity of the group's targets
-//! ([`Granting`](comfreyhall_workspace::Granting)): it also binds the runs
+//! ([`GrantingLimiter`](comfreyhall_workspace::Granting)): it also binds the runs
 //! there, and there is only one holder. It learns of a limit from its own
 //! responses or from the daemons that ask it, and spreads it by gossip.
 
 use std::sync::Arc;
 
-use comfreyhall_backpressure::{Rate, Word};
-use comfreyhall_domain::{Cap, Map, Name, Target, Unit};
+use comfreyhall_backpressure::{LimitReport, Rate};
+use comfreyhall_domain::{Map, Name, Quota, QuotaUnit, Target};
 use comfreyhall_protocol::TargetWord;
-use comfreyhall_workspace::{Kept, home_group};
+use comfreyhall_workspace::{PlacedQuota, coordinator_group};
 
 use super::{log, shut::unavailable};
 use crate::{
-    caps::{self, Credit, Of, Refused},
+    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -24,22 +24,22 @@
 const DRAINING_GOSSIP_MS: u64 = 10_000;
 
 /// The active limits, and the group whose coordinator enforces each.
-pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, Kept> {
+pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, PlacedQuota> {
     let gates = node.outbound.gates();
     if gates.is_empty() {
         return Map::default();
     }
-    let limited: Vec<(Name, Rate)> = gates.limited(now).map(|(t, r)| (t.clone(), r)).collect();
+    let limited: Vec<(Name, Rate)> = gates.limits(now).map(|(t, r)| (t.clone(), r)).collect();
     drop(gates);
     let groups = caps::groups(node);
     let kept = limited.into_iter().filter_map(|(target, rate)| {
         let group = group_of(node, &target, &groups)?;
-        let cap = Cap {
-            unit: Unit::Requests,
+        let cap = Quota {
+            unit: QuotaUnit::Requests,
             rate: rate.per_s(),
             burst: 0.0,
         };
-        Some((target, Kept { cap, group }))
+        Some((target, PlacedQuota { quota: cap, group }))
     });
     kept.collect()
 }
@@ -49,12 +49,17 @@
 /// on.
 fn group_of(node: &Node, target: &Name, groups: &[Name]) -> Option<Name> {
     let known = node.view().targets.get(target).cloned();
-    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.domain));
-    domain.or_else(|| home_group(target, groups)).cloned()
+    let domain = known.and_then(|t| groups.iter().find(|g| **g == t.failure_domain));
+    domain
+        .or_else(|| coordinator_group(target, groups))
+        .cloned()
 }
 
 /// Takes a part of the limit of `target`, if it has one.
-pub(super) async fn reserve(node: &Arc<Node>, target: &Target) -> Result<Option<Credit>, Refused> {
+pub(super) async fn reserve(
+    node: &Arc<Node>,
+    target: &Target,
+) -> Result<Option<Credit>, QuotaError> {
     if node
         .outbound
         .gates()
@@ -63,7 +68,7 @@
     {
         return Ok(None);
     }
-    let credit = caps::reserve(node, Of::Targets, &target.id, 1).await;
+    let credit = caps::reserve(node, QuotaKind::Targets, &target.id, 1).await;
     credit.map(Some)
 }
 
@@ -76,7 +81,7 @@
     }
     match node.outbound.gates().limit(target, now) {
         None => Some(false),
-        Some(_) => node.target_limits.take_here(target, now).then_some(true),
+        Some(_) => node.target_limits.take_local(target, now).then_some(true),
     }
 }
 
@@ -84,22 +89,22 @@
 pub(super) fn announce(node: &Arc<Node>, target: &Name) {
     let groups = caps::groups(node);
     if let Some(group) = group_of(node, target, &groups) {
-        caps::tell_home(node, Of::Targets, group);
+        caps::notify_coordinator(node, QuotaKind::Targets, group);
     }
 }
 
-fn to_wire(target: &Name, notice: Word, now: u64) -> TargetWord {
+fn to_wire(target: &Name, notice: LimitReport, now: u64) -> TargetWord {
     TargetWord {
         target: target.to_string(),
         limit: notice.limit.map_or(0.0, Rate::per_s),
-        age_ms: now.saturating_sub(notice.heard),
+        age_ms: now.saturating_sub(notice.received_ms),
         leaving: false,
     }
 }
 
 /// What targets of `group` announced to this daemon itself.
 pub(crate) fn own_notices(node: &Node, group: &str) -> Vec<TargetWord> {
-    select(node, |notice, of| notice.own && of == group)
+    select(node, |notice, of| notice.direct && of == group)
 }
 
 /// What is known of targets of `group`.
@@ -116,11 +121,14 @@
     select(node, |_, of| held.iter().any(|(group, _)| **group == *of))
 }
 
-fn select(node: &Node, wanted: impl Fn(&Word, &str) -> bool) -> Vec<TargetWord> {
+fn select(node: &Node, wanted: impl Fn(&LimitReport, &str) -> bool) -> Vec<TargetWord> {
     let now = node.now();
-    let known: Vec<(Name, Word)> = {
+    let known: Vec<(Name, LimitReport)> = {
         let gates = node.outbound.gates();
-        gates.words(now).map(|(t, w)| (t.clone(), w)).collect()
+        gates
+            .limit_reports(now)
+            .map(|(t, w)| (t.clone(), w))
+            .collect()
     };
     let draining = recently_draining(node, now);
     if known.is_empty() && draining.is_empty() {
@@ -139,7 +147,7 @@
 fn recently_draining(node: &Node, now: u64) -> Vec<TargetWord> {
     let gates = node.outbound.gates();
     let new = gates
-        .leaving(now)
+        .draining(now)
         .filter(|(_, age)| *age < DRAINING_GOSSIP_MS);
     let notices = new.map(|(target, age_ms)| TargetWord {
         target: target.to_string(),
@@ -160,26 +168,29 @@
             let change = node
                 .outbound
                 .gates()
-                .told_leaving(&target, notice.age_ms, now);
+                .record_reported_drain(&target, notice.age_ms, now);
             if let Some(change) = change {
                 log::log_change(node, &target, change, from, notice.age_ms);
             }
             continue;
         }
-        let word = Word {
+        let word = LimitReport {
             limit: (notice.limit > 0.0)
-                .then(|| Rate::of(notice.limit))
+                .then(|| Rate::from_per_s(notice.limit))
                 .flatten(),
-            heard: now.saturating_sub(notice.age_ms),
-            own: false,
+            received_ms: now.saturating_sub(notice.age_ms),
+            direct: false,
         };
-        let change = node.outbound.gates().told(&target, word, now);
+        let change = node
+            .outbound
+            .gates()
+            .record_reported_limit(&target, word, now);
         if let Some(change) = change {
             log::log_change(node, &target, change, from, notice.age_ms);
             changed = true;
         }
     }
     if changed {
-        caps::refresh(node, Of::Targets);
+        caps::refresh(node, QuotaKind::Targets);
     }
 }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -15,8 +15,8 @@
     time::Duration,
 };
 
-use comfreyhall_backpressure::{Change, Gates, Notice};
-use comfreyhall_domain::{Ask, Target};
+use comfreyhall_backpressure::{Change, Notice, TargetSignals};
+use comfreyhall_domain::{ClientRequest, Target};
 use rand::Rng;
 use tokio::time::timeout;
 
@@ -25,7 +25,7 @@
     shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
-    caps::{self, Credit, Of, Refused},
+    caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
     ports::{
         Command, CommandReply, ProbeResult, Report, ReportError, Response, SendError, SendOptions,
@@ -39,11 +39,11 @@
 /// What this daemon knows of what targets announce.
 #[derive(Default)]
 pub(crate) struct Outbound {
-    gates: Mutex<Gates>,
+    gates: Mutex<TargetSignals>,
 }
 
 impl Outbound {
-    fn gates(&self) -> MutexGuard<'_, Gates> {
+    fn gates(&self) -> MutexGuard<'_, TargetSignals> {
         self.gates.lock().expect("no holder of this lock panics")
     }
 }
@@ -52,12 +52,12 @@
 /// would otherwise return together, and overload the target right after its
 /// cooldown.
 fn add_jitter(notice: &Notice) -> Cow<'_, Notice> {
-    let Some(rest_ms) = notice.rest_ms else {
+    let Some(rest_ms) = notice.cooldown_ms else {
         return Cow::Borrowed(notice);
     };
     let more = rand::rng().random_range(0..=rest_ms / COOLDOWN_JITTER_DIVISOR);
     Cow::Owned(Notice {
-        rest_ms: Some(rest_ms + more),
+        cooldown_ms: Some(rest_ms + more),
         ..notice.clone()
     })
 }
@@ -68,7 +68,10 @@
     let now = node.now();
     log::log_problems(node, target, notice, now);
     let notice = add_jitter(notice);
-    let changes = node.outbound.gates().hear(&target.id, &notice, sent, now);
+    let changes = node
+        .outbound
+        .gates()
+        .record_notice(&target.id, &notice, sent, now);
     // Most responses announce nothing new.
     if changes.is_empty() {
         return;
@@ -78,7 +81,7 @@
         let age = sent.map_or(0, |s| now - s);
         log::log_change(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
-            caps::refresh(node, Of::Targets);
+            caps::refresh(node, QuotaKind::Targets);
             limits::announce(node, &target.id);
         }
     }
@@ -87,7 +90,7 @@
 /// Drops announcements that have expired.
 pub(crate) fn sweep(node: &Node) {
     let now = node.now();
-    let ended = node.outbound.gates().sweep(now);
+    let ended = node.outbound.gates().expire(now);
     for (target, change) in ended {
         log::log_change(node, &target, change, "time", 0);
     }
@@ -105,7 +108,7 @@
     /// Returns the credit, since nothing reached the target.
     fn give_back(self) {
         if let Some(credit) = self.credit {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
@@ -125,7 +128,7 @@
         return Ok(Permit { credit });
     }
     let credit = limits::reserve(node, target).await.map_err(|refused| {
-        let (Refused::Over { retry_ms } | Refused::Unsure { retry_ms }) = refused;
+        let (QuotaError::Exceeded { retry_ms } | QuotaError::Unknown { retry_ms }) = refused;
         let why = "its limit is used up";
         Unavailable { why, retry_ms }
     })?;
@@ -138,7 +141,7 @@
     node: &Arc<Node>,
     target: &Arc<Target>,
     mut permit: Permit,
-    ask: Arc<Ask>,
+    ask: Arc<ClientRequest>,
     options: SendOptions,
     patience: Duration,
 ) -> Result<Response, SendError> {
@@ -148,7 +151,7 @@
     }
     // From here on the request may arrive, even if nobody waits for it any more.
     if let Some(credit) = &mut permit.credit {
-        credit.sent();
+        credit.mark_sent();
     }
     let sent = node.now();
     let call = node.backend.send(target.clone(), ask, options);
@@ -199,7 +202,7 @@
 /// Checks whether `target` is alive. A target in cooldown is not probed; a
 /// draining one is, to see whether it has ended.
 pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> ProbeResult {
-    if node.outbound.gates().rest_ms(&target.id, node.now()) > 0 {
+    if node.outbound.gates().cooldown_ms(&target.id, node.now()) > 0 {
         return ProbeResult::NoAnswer;
     }
     let reply = node.backend.probe(target.clone()).await;
--- a/crates/comfreyhall-node/src/relay.rs
+++ b/crates/comfreyhall-node/src/relay.rs
@@ -150,7 +150,7 @@
                     request.report_completed();
                     request.finished = true;
                     request.node.metrics.request(request.route.kind, "answered");
-                    log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, target_id:% = self.send.target, adapter:% = request.adapter(), events = self.events_sent, resumes = self.resumes, first = request.first_event_ms, stall = request.load_wait_ms, pause = self.max_pause_ms, aim = request.route.target_ms, sends = request.verdict.sends, ms = self.send.elapsed_ms(); "streamed");
+                    log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, target_id:% = self.send.target, adapter:% = request.adapter(), events = self.events_sent, resumes = self.resumes, first = request.first_event_ms, stall = request.load_wait_ms, pause = self.max_pause_ms, aim = request.route.objective_ms, sends = request.verdict.sends, ms = self.send.elapsed_ms(); "streamed");
                     return None;
                 }
                 Ok(Step::Broken(why)) => why,
@@ -195,7 +195,7 @@
         if std::mem::take(&mut self.connection_closed) {
             request.report_closed(&self.send);
         }
-        request.verdict.add(Outcome::Broken);
+        request.verdict.record(Outcome::Broken);
         let last = self.last_event;
         log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name, fingerprint:% = request.fingerprint(), target_id:% = self.send.target, events = self.events_sent, why, left = request.remaining_ms(); "stream broke off");
         // The old run must be cancelled before the new one begins.
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -1,11 +1,11 @@
 //! Authentication, key revocation and workspace quotas of one request.
 
-use comfreyhall_domain::{Allowance, Answer, Ask, Caller, Config, Route, answer_for};
-use comfreyhall_inforce::{InForce, Taken, Verdict};
+use comfreyhall_domain::{Allowance, Answer, Caller, ClientRequest, Config, Route, answer_for};
+use comfreyhall_inforce::{AppliedVersion, Freshness, SettingsTracker};
 
 use super::{ActiveRequest, NOT_READY_RETRY_MS, Reply};
 use crate::{
-    caps::{self, Of, Refused},
+    caps::{self, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -25,9 +25,13 @@
 }
 
 /// Finds the route of `ask` and identifies its caller by `config`.
-pub(super) fn admit(node: &Node, config: &Config, ask: &Ask) -> Result<(Route, Caller), Rejection> {
-    let path = ask.message.path.split('?').next().unwrap_or("");
-    let Some(route) = config.route(&ask.host, path) else {
+pub(super) fn admit(
+    node: &Node,
+    config: &Config,
+    ask: &ClientRequest,
+) -> Result<(Route, Caller), Rejection> {
+    let path = ask.forwarded.path.split('?').next().unwrap_or("");
+    let Some(route) = config.match_route(&ask.host, path) else {
         // The route may be in settings that have not reached this daemon yet.
         return Err(match node.settings_may_lag() {
             true => Rejection::Unconfirmed,
@@ -37,7 +41,7 @@
     if config.workspaces.is_some() && !route.public && node.keys_expired() {
         return Err(Rejection::Unconfirmed);
     }
-    match config.caller(route, ask.key.as_ref()) {
+    match config.resolve_caller(route, ask.key.as_ref()) {
         Some(caller) => Ok((route.clone(), caller)),
         // A caller does not retry after a final answer, but its key may have been
         // issued a moment ago.
@@ -63,16 +67,16 @@
 }
 
 impl SettingsBasis {
-    pub(super) fn of(known: &InForce, now: u64) -> Self {
+    pub(super) fn of(known: &SettingsTracker, now: u64) -> Self {
         let since = |at: u64| now.saturating_sub(at);
-        let from = |taken: &Taken| taken.way.to_string();
+        let from = |taken: &AppliedVersion| taken.source.to_string();
         Self {
             version: known.newest(),
-            source: known.taken().map_or_else(String::new, from),
-            known_ms: known.taken().map_or(0, |t| since(t.at)),
-            age_ms: known.age(now),
-            newer_version: known.heard().map_or(0, |h| h.version),
-            outage_ms: known.away().map_or(0, since),
+            source: known.last_applied().map_or_else(String::new, from),
+            known_ms: known.last_applied().map_or(0, |t| since(t.applied_at_ms)),
+            age_ms: known.age_ms(now),
+            newer_version: known.newer_version().map_or(0, |h| h.version),
+            outage_ms: known.store_down_since().map_or(0, since),
         }
     }
 }
@@ -82,8 +86,12 @@
     /// ago than `apply_ms` allows.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().records.in_force.verdict(self.now(), bound);
-        verdict == Verdict::Stale
+        let verdict = self
+            .view()
+            .records
+            .settings_sync
+            .freshness(self.now(), bound);
+        verdict == Freshness::Stale
     }
 
     /// Whether all keys have expired, because a revocation may have been missed.
@@ -92,11 +100,11 @@
             return false;
         };
         let now = self.now();
-        self.view().records.in_force.age(now) > max_age_ms
+        self.view().records.settings_sync.age_ms(now) > max_age_ms
     }
 
     /// Answers a request that is not admitted and logs it, rate limited.
-    pub(super) fn reject(&self, ask: &Ask, config: u64, why: Rejection) -> Reply {
+    pub(super) fn reject(&self, ask: &ClientRequest, config: u64, why: Rejection) -> Reply {
         let (reply, refusal) = match why {
             Rejection::NoRoute => (Reply::NoRoute, "no route"),
             Rejection::UnknownKey => (Reply::UnknownKey, "unknown key"),
@@ -107,7 +115,7 @@
         };
         self.metrics.refusal(refusal);
         if let Some(left_out) = self.log_limits.rejected.take(self.now()) {
-            let basis = SettingsBasis::of(&self.view().records.in_force, self.now());
+            let basis = SettingsBasis::of(&self.view().records.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.version, from = basis.source, held = basis.known_ms, age = basis.age_ms, newer = basis.newer_version, away = basis.outage_ms; "turned away");
         }
         reply
@@ -120,21 +128,21 @@
         let workspace = self.caller.workspace()?.clone();
         let cap = match workspace.allowance {
             Allowance::Unlimited => return None,
-            Allowance::Closed => {
+            Allowance::Denied => {
                 return Some(self.refuse_credit(
                     0,
-                    Refused::Over {
+                    QuotaError::Exceeded {
                         retry_ms: CLOSED_QUOTA_RETRY_MS,
                     },
                 ));
             }
-            Allowance::Capped(cap) => cap,
+            Allowance::Limited(cap) => cap,
         };
         let tokens = self.ask.tokens;
-        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.output));
-        let size = cap.size(tokens);
-        self.node.quotas.catch_up(&self.node, config);
-        match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
+        let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
+        let size = cap.cost(tokens);
+        self.node.quotas.sync_config(&self.node, config);
+        match caps::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
                 None
@@ -144,13 +152,13 @@
     }
 
     /// The final answer to a request that got no credit.
-    fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
+    fn refuse_credit(&mut self, size: u64, why: QuotaError) -> Reply {
         self.finished = true;
         let now = self.node.now();
         let workspace = self.caller.workspace().map_or("", |w| &*w.name).to_string();
         let (reason, over, retry_ms) = match why {
-            Refused::Over { retry_ms } => ("over its cap", true, retry_ms),
-            Refused::Unsure { retry_ms } => ("its use is not known", false, retry_ms),
+            QuotaError::Exceeded { retry_ms } => ("over its cap", true, retry_ms),
+            QuotaError::Unknown { retry_ms } => ("its use is not known", false, retry_ms),
         };
         let retry_ms = self.retry_after_ms(retry_ms as f64);
         let answer = match over {
@@ -158,14 +166,14 @@
             false => Answer::NotRun { retry_ms },
         };
         self.node.metrics.refusal(reason);
-        self.node.metrics.workspace(&workspace, reason);
+        self.node.metrics.workspace_refusal(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
         if let Some(left_out) = self.node.log_limits.over_quota.take(now) {
             let basis = self.node.quotas.basis(&workspace, now);
-            let home = basis.home.as_deref().unwrap_or("");
+            let home = basis.coordinator.as_deref().unwrap_or("");
             // Whole units per second, and percent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
-            let (held, lends) = (basis.held as u64, (basis.part * 100.0) as u64);
+            let (held, lends) = (basis.balance as u64, (basis.lendable_share * 100.0) as u64);
             log::info!(target: "caps", id:% = self.ask.id, route:% = self.route.name, workspace, size, why = reason, cap, lent, lends, home, age = basis.age_ms, held, demand, retry_ms, left_out; "refused");
         }
         Reply::Unanswered(answer)
@@ -189,7 +197,7 @@
         if config.version == self.config_version {
             return true;
         }
-        let found = config.caller(&self.route, self.ask.key.as_ref());
+        let found = config.resolve_caller(&self.route, self.ask.key.as_ref());
         let found = found.as_ref().and_then(Caller::workspace);
         found.is_some_and(|w| w.name == known.name)
     }
@@ -205,7 +213,7 @@
         }
         let held = self.node.now() - self.began_ms;
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
-        match self.verdict.doubt {
+        match self.verdict.may_have_run {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
             false => Reply::UnknownKey,
         }
@@ -214,9 +222,9 @@
     /// Returns its credit if it has certainly not run.
     pub(super) fn return_credit(&mut self) {
         if let Some(credit) = self.credit.take()
-            && !self.verdict.doubt
+            && !self.verdict.may_have_run
         {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -1,6 +1,6 @@
 //! Request fingerprints and the quarantine check before each send.
 
-use comfreyhall_domain::{Ask, Caller, answer_held};
+use comfreyhall_domain::{Caller, ClientRequest, answer_quarantined};
 use comfreyhall_quarantine::Fingerprint;
 
 use super::{ActiveRequest, Reply};
@@ -12,13 +12,13 @@
 /// The identity of a request over all its attempts: workspace, host, method,
 /// path and body. Ids, timeouts and hints differ between attempts, and a caller
 /// can change other headers at will, so none of them are included.
-fn fingerprint_of(ask: &Ask, caller: &Caller) -> Fingerprint {
+fn fingerprint_of(ask: &ClientRequest, caller: &Caller) -> Fingerprint {
     Fingerprint::of([
         ask.host.as_bytes(),
         caller.workspace().map_or("", |w| &*w.name).as_bytes(),
-        ask.message.method.as_str().as_bytes(),
-        ask.message.path.as_bytes(),
-        &ask.message.body,
+        ask.forwarded.method.as_str().as_bytes(),
+        ask.forwarded.path.as_bytes(),
+        &ask.forwarded.body,
     ])
 }
 
@@ -34,13 +34,13 @@
     /// Reports that the target closed the connection while it ran `send`.
     pub(crate) fn report_closed(&self, send: &ActiveSend) {
         let target = &send.target;
-        quarantine::broke(&self.node, target, self.fingerprint(), send.ran_briefly());
+        quarantine::connection_closed(&self.node, target, self.fingerprint(), send.ran_briefly());
     }
 
     /// Reports that a target ran it to the end.
     pub(crate) fn report_completed(&self) {
         if !self.node.quarantine.is_empty() {
-            quarantine::ran_whole(&self.node, self.fingerprint());
+            quarantine::run_completed(&self.node, self.fingerprint());
         }
     }
 
@@ -53,17 +53,20 @@
             return None;
         }
         let fingerprint = self.fingerprint();
-        if self.node.quarantine.suspects(&fingerprint) {
-            self.node.quarantine.settled(&self.node, &fingerprint).await;
+        if self.node.quarantine.is_suspect(&fingerprint) {
+            self.node
+                .quarantine
+                .await_verdict(&self.node, &fingerprint)
+                .await;
         }
         if self.trial.is_some() {
             // A trial allows one send.
             let sent = self.verdict.sends > 0;
-            return sent.then_some(quarantine::TRIED_MS);
+            return sent.then_some(quarantine::TRIAL_RETRY_MS);
         }
         match quarantine::admit(&self.node, fingerprint) {
-            Admission::Free => None,
-            Admission::Held(retry_ms) => Some(retry_ms),
+            Admission::Allowed => None,
+            Admission::Quarantined(retry_ms) => Some(retry_ms),
             Admission::Trial(trial) => {
                 log::info!(target: "quarantine", id:% = self.ask.id, fingerprint:%; "request tried again");
                 self.trial = Some(trial);
@@ -83,8 +86,8 @@
         }
         let (now, left, fingerprint) = (self.node.now(), self.remaining_ms(), self.fingerprint());
         let held = now - self.began_ms;
-        let answer = answer_held(&self.verdict, retry_ms);
-        let evidence = self.node.quarantine.ends(&fingerprint, now);
+        let answer = answer_quarantined(&self.verdict, retry_ms);
+        let evidence = self.node.quarantine.describe_ends(&fingerprint, now);
         self.node.metrics.request(self.route.kind, answer.name());
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, why, answer:?, evidence, sends = self.verdict.sends, held, left; "given up");
         Reply::Unanswered(answer)
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -18,10 +18,11 @@
 
 use bytes::Bytes;
 use comfreyhall_domain::{
-    Answer, Ask, Caller, Config, Engine, Kind, Name, Route, Verdict, answer_for,
+    Answer, Caller, ClientRequest, Config, EngineConfig, Name, Route, RouteKind, SendHistory,
+    answer_for,
 };
 use comfreyhall_quarantine::Fingerprint;
-use comfreyhall_routing::{Budget, admission};
+use comfreyhall_routing::{RetryBudget, admission};
 use futures::Stream;
 use http::{HeaderMap, StatusCode};
 use rand::Rng;
@@ -30,7 +31,7 @@
 use crate::{
     caps::Credit,
     choose::{self, Criteria, Plan, Requirements},
-    fleet::key_of,
+    fleet::adapter_key,
     node::{InFlightGuard, Node},
     quarantine::Trial,
     stop,
@@ -99,7 +100,7 @@
 /// One request in progress.
 pub(crate) struct ActiveRequest {
     pub(crate) node: Arc<Node>,
-    pub(crate) ask: Arc<Ask>,
+    pub(crate) ask: Arc<ClientRequest>,
     requirements: Arc<Requirements>,
     /// Its identity over all attempts, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
@@ -112,7 +113,7 @@
     /// Credit reserved under its workspace's quota.
     credit: Option<Credit>,
     service: Name,
-    engine: Option<Engine>,
+    engine: Option<EngineConfig>,
     began_ms: u64,
     /// Deadline on this daemon's clock.
     pub(crate) deadline_ms: u64,
@@ -121,7 +122,7 @@
     unavailable: Vec<Name>,
     /// Refusals by full targets.
     full_refusals: u32,
-    pub(crate) verdict: Verdict,
+    pub(crate) verdict: SendHistory,
     /// Sends that reached a target.
     deliveries: u32,
     /// A target's error response, passed on if no target answers better.
@@ -153,10 +154,10 @@
     /// Serves a request of a caller. Dropping the future cancels it where that is
     /// safe: a request that runs at most once continues to its end, since a
     /// partial run can be neither undone nor repeated.
-    pub async fn serve(self: &Arc<Self>, ask: Ask) -> Reply {
+    pub async fn serve(self: &Arc<Self>, ask: ClientRequest) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.has_started()) else {
-            let basis = SettingsBasis::of(&self.view().records.in_force, self.now());
+            let basis = SettingsBasis::of(&self.view().records.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, row = basis.version, newer = basis.newer_version, away = basis.outage_ms, up = self.uptime_ms(); "refused: nothing is known yet");
             return Reply::NotReady {
                 retry_ms: NOT_READY_RETRY_MS,
@@ -169,7 +170,7 @@
         let Some(mut request) = ActiveRequest::new(self, &config, ask, route, caller) else {
             return Reply::NoRoute;
         };
-        if !stop::takes(self, request.deadline_ms) {
+        if !stop::accepts(self, request.deadline_ms) {
             request.finished = true;
             log::info!(target: "serve", id:% = request.ask.id, route:% = request.route.name; "refused: the stop is near its end");
             return Reply::NotReady {
@@ -181,11 +182,11 @@
             return reply;
         }
         match request.route.kind {
-            Kind::Unsafe => match tokio::spawn(request.run()).await {
+            RouteKind::NonIdempotent => match tokio::spawn(request.run()).await {
                 Ok(reply) => reply,
                 Err(_) => Reply::Unanswered(Answer::Unknown),
             },
-            Kind::Safe | Kind::Stream => request.run().await,
+            RouteKind::Idempotent | RouteKind::Stream => request.run().await,
         }
     }
 
@@ -198,16 +199,16 @@
     fn new(
         node: &Arc<Node>,
         config: &Config,
-        ask: Ask,
+        ask: ClientRequest,
         route: Route,
         caller: Caller,
     ) -> Option<Self> {
         let seed: u64 = rand::rng().random();
-        let service = route.service(seed)?.clone();
+        let service = route.pick_service(seed)?.clone();
         let engine = config.services.get(&service).and_then(|s| s.engine.clone());
         let began_ms = node.now();
         let left = ask
-            .left_ms
+            .remaining_ms
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         Some(Self {
@@ -216,7 +217,7 @@
             requirements: Arc::new(Requirements::of(&ask)),
             fingerprint: OnceLock::new(),
             ask: Arc::new(ask),
-            rank: node.view().ranks.of_call(&caller, &route),
+            rank: node.view().ranks.position(&caller, &route),
             route,
             caller,
             config_version: config.version,
@@ -228,7 +229,7 @@
             tried: Vec::new(),
             unavailable: Vec::new(),
             full_refusals: 0,
-            verdict: Verdict::default(),
+            verdict: SendHistory::default(),
             deliveries: 0,
             fallback: None,
             in_flight: None,
@@ -241,7 +242,7 @@
 
     /// `model/adapter`, for the log.
     pub(crate) fn adapter(&self) -> Name {
-        self.ask.adapter.as_ref().map_or("".into(), key_of)
+        self.ask.adapter.as_ref().map_or("".into(), adapter_key)
     }
 
     pub(crate) fn remaining_ms(&self) -> u64 {
@@ -315,7 +316,7 @@
             if self.deliveries > 0 && !self.take_retry() {
                 return self.give_up("the retry budget is spent", plan.wait_ms);
             }
-            let last_event = self.ask.last_event;
+            let last_event = self.ask.last_event_id;
             match self.send(&mut plan, permit, last_event).await {
                 Ok((response, send)) => match self.handle_response(response, send, plan).await {
                     Next::Reply(reply) => return reply,
@@ -327,7 +328,7 @@
                 return self.give_up("it may have run", 0.0);
             }
             if self.attempts_exhausted() {
-                let excess = self.route.target_ms as f64 * EXHAUSTED_RETRY_SHARE;
+                let excess = self.route.objective_ms as f64 * EXHAUSTED_RETRY_SHARE;
                 return self.give_up("every send it may have is spent", excess);
             }
         }
@@ -344,22 +345,22 @@
 
     /// Whether a wait of `wait_ms` would be too long for it.
     fn wait_too_long(&self, wait_ms: f64) -> bool {
-        admission::refuse(
+        admission::should_refuse(
             wait_ms,
             self.remaining_ms(),
-            self.route.target_ms,
+            self.route.objective_ms,
             self.rank,
         )
     }
 
     /// Whether it may only be sent to targets that have already received it.
     fn only_tried(&self) -> bool {
-        self.tried.len() as u32 >= self.route.attempts.max(1)
+        self.tried.len() as u32 >= self.route.max_attempts.max(1)
     }
 
     /// Whether every target it may be sent to has left its outcome unknown.
     fn attempts_exhausted(&self) -> bool {
-        self.verdict.doubt && self.only_tried()
+        self.verdict.may_have_run && self.only_tried()
     }
 
     /// Whether it has waited too long without being sent.
@@ -373,7 +374,7 @@
     }
 
     fn hold_end_ms(&self) -> u64 {
-        let hold_ms = admission::hold_ms(self.deadline_ms - self.began_ms, self.route.target_ms);
+        let hold_ms = admission::max_hold_ms(self.deadline_ms - self.began_ms, self.route.objective_ms);
         self.began_ms + hold_ms
     }
 
@@ -384,17 +385,17 @@
         let mut view = self.node.view();
         let budget = view.budgets.entry(self.service.clone()).or_insert_with(|| {
             let window = (bounds.retry_s * 1_000.0) as u64;
-            Budget::new(window, bounds.retry_ratio, bounds.retry_allowance)
+            RetryBudget::new(window, bounds.retry_ratio, bounds.retry_allowance)
         });
-        budget.request(now);
+        budget.record_request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
-            let key = key_of(adapter);
+            let key = adapter_key(adapter);
             view.count_demand(&key, 1, now);
             if let Some(tokens) = self.ask.tokens {
                 view.observe_prompt(tokens.prompt);
             }
             drop(view);
-            self.node.fleet.demand(&key);
+            self.node.fleet.record_demand(&key);
         }
     }
 
@@ -404,16 +405,16 @@
         let daemons = self.node.fleet.size(now);
         let mut view = self.node.view();
         let budget = view.budgets.get_mut(&self.service);
-        let granted = budget.is_some_and(|b| b.repeat(now, daemons));
+        let granted = budget.is_some_and(|b| b.try_retry(now, daemons));
         drop(view);
-        self.node.metrics.repeat(granted);
+        self.node.metrics.retry(granted);
         granted
     }
 
     fn choose(&self) -> Option<Plan> {
         let criteria = Criteria {
             requirements: &self.requirements,
-            objective_ms: self.route.target_ms,
+            objective_ms: self.route.objective_ms,
             service: &self.service,
             group: None,
             engine: self.engine.as_ref(),
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{ActiveRequest, RECHECK_MS, send::UNREACHABLE_MS};
 use crate::{
     bind::{self, BindError, BindParams, Binding},
     choose::Plan,
-    fleet::key_of,
+    fleet::adapter_key,
     flight::RunHandle,
 };
 
@@ -46,7 +46,7 @@
             return BindOutcome::Engine;
         }
         let began = self.node.now();
-        let run = self.node.fleet.next_run();
+        let run = self.node.fleet.next_run_id();
         let mut result = bind::bind(&self.node, self.bind_params(plan, run, plan.needs_load)).await;
         if result == Err(BindError::LoadRequired) {
             result = bind::bind(&self.node, self.bind_params(plan, run, true)).await;
@@ -54,7 +54,7 @@
         let stall = self.node.now() - began;
         if plan.needs_load {
             self.load_wait_ms += stall;
-            self.node.metrics.stall(stall);
+            self.node.metrics.load_stall(stall);
         }
         match result {
             Ok(binding) => self.apply_binding(plan, &adapter, run, binding, stall),
@@ -62,7 +62,7 @@
             // without it.
             Err(BindError::NoAnswer) if !plan.needs_load => BindOutcome::Engine,
             Err(BindError::TooLong(ms)) => {
-                self.exclude_group(&plan.target.domain);
+                self.exclude_group(&plan.target.failure_domain);
                 BindOutcome::TooLong(ms)
             }
             Err(why) => {
@@ -75,12 +75,12 @@
     fn bind_params(&self, plan: &Plan, run: u64, may_wait: bool) -> BindParams {
         BindParams {
             run,
-            group: plan.target.domain.clone(),
+            group: plan.target.failure_domain.clone(),
             service: self.service.clone(),
             requirements: self.requirements.clone(),
             min_version: plan.min_version,
             priority: self.rank,
-            objective_ms: self.route.target_ms,
+            objective_ms: self.route.objective_ms,
             elapsed_ms: self.node.now() - self.began_ms,
             remaining_ms: self.remaining_ms(),
             tried: self.tried.clone(),
@@ -103,8 +103,8 @@
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Standing::Held(binding.version);
-            view.residency.note(adapter, &binding.target, standing, now);
+            let standing = Presence::Held(binding.version);
+            view.residency.record(adapter, &binding.target, standing, now);
         }
         if binding.hot {
             view.mark_hot(adapter, now);
@@ -125,15 +125,18 @@
     /// Excludes all engines of `group` for this request.
     fn exclude_group(&mut self, group: &str) {
         let view = self.node.view();
-        let engines = view.targets.values().filter(|t| *t.domain == *group);
+        let engines = view
+            .targets
+            .values()
+            .filter(|t| *t.failure_domain == *group);
         let engines: Vec<Name> = engines.map(|t| t.id.clone()).collect();
         drop(view);
         self.unavailable.extend(engines);
     }
 
     async fn handle_unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: BindError) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.domain, adapter:% = key_of(adapter), why:%; "no engine found");
-        self.exclude_group(&plan.target.domain);
+        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
+        self.exclude_group(&plan.target.failure_domain);
         if let BindError::NoEngine { gone, .. } = why {
             let until = self.node.now() + UNREACHABLE_MS;
             for target in gone {
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use comfreyhall_domain::{Kind, Name, Outcome, Refusal};
-use comfreyhall_routing::Standing;
+use comfreyhall_domain::{Name, Outcome, Refusal, RouteKind};
+use comfreyhall_routing::Presence;
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
 
@@ -48,7 +48,7 @@
     pub(super) fn first_event_timeout_ms(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
         let mute = self.node.policies().patience;
-        if !mute || !choose::repeatable(&self.route) || tries >= self.route.attempts {
+        if !mute || !choose::repeatable(&self.route) || tries >= self.route.max_attempts {
             return self.remaining_ms();
         }
         let patience = MIN_FIRST_EVENT_MS + (plan.wait_ms * FIRST_EVENT_FACTOR) as u64;
@@ -102,7 +102,7 @@
             last_event,
         };
         if let Some(credit) = &mut self.credit {
-            credit.sent();
+            credit.mark_sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
         let run_handle = self.run_handle(plan);
@@ -121,7 +121,7 @@
                 Ok((response, send))
             }
             Err(SendError::NotSent(why)) => {
-                self.verdict.add(Outcome::NotSent);
+                self.verdict.record(Outcome::NotSent);
                 send.record_outcome(false, UNREACHABLE_WEIGHT);
                 let until = self.node.now() + UNREACHABLE_MS;
                 self.node
@@ -133,7 +133,7 @@
             }
             Err(SendError::ConnectionClosed(why)) => {
                 self.mark_delivered(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 send.record_outcome(false, FAILED_WEIGHT);
                 self.report_closed(&send);
                 self.log_send(&plan.target.id, "in doubt", &why);
@@ -141,7 +141,7 @@
             }
             Err(SendError::Indeterminate(why)) => {
                 self.mark_delivered(&plan.target.id);
-                self.verdict.add(Outcome::Doubt);
+                self.verdict.record(Outcome::Indeterminate);
                 send.record_outcome(false, FAILED_WEIGHT);
                 self.log_send(&plan.target.id, "in doubt", &why);
                 Err(())
@@ -154,7 +154,7 @@
     /// engine.
     fn run_handle(&self, plan: &mut Plan) -> Option<RunHandle> {
         let own = || {
-            let run = self.node.fleet.next_run();
+            let run = self.node.fleet.next_run_id();
             RunHandle::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
@@ -187,7 +187,7 @@
             return Next::Retry;
         }
         if response.status.is_success() && !response.verified {
-            self.verdict.add(Outcome::Doubt);
+            self.verdict.record(Outcome::Indeterminate);
             send.record_outcome(false, FAILED_WEIGHT);
             self.log_send(&send.target, "in doubt", "the answer is not a target's");
             return Next::Retry;
@@ -213,7 +213,7 @@
                     }
                     _ => "its time is up".to_string(),
                 };
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 send.record_outcome(false, FAILED_WEIGHT);
                 self.log_send(&send.target, "broken off", &why);
                 Next::Retry
@@ -222,15 +222,16 @@
     }
 
     pub(super) fn handle_refusal(&mut self, refusal: Refusal, send: &ActiveSend, plan: &Plan) {
-        self.verdict.add(Outcome::Refused(refusal));
+        self.verdict.record(Outcome::Refused(refusal));
         let now = self.node.now();
         let target = &send.target;
         match (refusal, &self.ask.adapter) {
-            (Refusal::Elsewhere, Some(adapter)) => {
+            (Refusal::WrongTarget, Some(adapter)) => {
                 let mut view = self.node.view();
-                view.residency.note(adapter, target, Standing::Absent, now);
+                view.residency
+                    .record(adapter, target, Presence::Absent, now);
             }
-            (Refusal::Elsewhere, None) => {
+            (Refusal::WrongTarget, None) => {
                 let until = now + UNREACHABLE_MS;
                 self.node
                     .view()
@@ -249,7 +250,7 @@
             "refused",
             match refusal {
                 Refusal::Full => "the target is full",
-                Refusal::Elsewhere => "it is not there",
+                Refusal::WrongTarget => "it is not there",
                 Refusal::Other => "for a reason of its own",
             },
         );
@@ -262,7 +263,7 @@
             .first_event_timeout_ms(&plan)
             .saturating_sub(send.elapsed_ms())
             .max(1);
-        let mut relay = Relay::new(response.body, send, self.ask.last_event);
+        let mut relay = Relay::new(response.body, send, self.ask.last_event_id);
         let first = relay.first_event(Duration::from_millis(patience)).await;
         match first {
             Ok(()) => {
@@ -270,10 +271,11 @@
                     let now = self.node.now();
                     let mut view = self.node.view();
                     let target = &plan.target.id;
-                    view.prefixes.note(adapter, &self.ask.parts, target, now);
+                    view.prefixes
+                        .record(adapter, &self.ask.prompt_segments, target, now);
                 }
                 let request = self.detach();
-                self.node.metrics.first(request.first_event_ms);
+                self.node.metrics.first_event(request.first_event_ms);
                 let body = relay.run(request);
                 Next::Reply(Reply::Stream {
                     status,
@@ -285,7 +287,7 @@
                 if relay.connection_closed {
                     self.report_closed(&relay.send);
                 }
-                self.verdict.add(Outcome::Broken);
+                self.verdict.record(Outcome::Broken);
                 relay.send.record_outcome(false, FAILED_WEIGHT);
                 self.log_send(&plan.target.id, "broken off before its first event", &why);
                 Next::Retry
@@ -338,18 +340,18 @@
         send.record_outcome(ok, FAILED_WEIGHT);
         if ok {
             let took = send.elapsed_ms();
-            self.node.view().board.learn_took(&send.target, took);
+            self.node.view().board.record_duration(&send.target, took);
         }
-        self.verdict.add(Outcome::Answered);
+        self.verdict.record(Outcome::Answered);
         self.report_completed();
-        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = send.target, status = status.as_u16(), ms = now - self.began_ms, aim = self.route.target_ms, sends = self.verdict.sends; "answered");
+        log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, target_id:% = send.target, status = status.as_u16(), ms = now - self.began_ms, aim = self.route.objective_ms, sends = self.verdict.sends; "answered");
         self.node
             .metrics
             .request(self.route.kind, if ok { "answered" } else { "failed" });
-        let again = self.route.kind == Kind::Safe
+        let again = self.route.kind == RouteKind::Idempotent
             && !ok
-            && (self.tried.len() as u32) < self.route.attempts
-            && self.remaining_ms() > self.route.target_ms / 4;
+            && (self.tried.len() as u32) < self.route.max_attempts
+            && self.remaining_ms() > self.route.objective_ms / 4;
         if again {
             self.fallback = Some((status, headers, body));
             return Next::Retry;
@@ -364,7 +366,7 @@
         last_event: Option<u64>,
     ) -> Result<(Response, ActiveSend), ()> {
         let may = self.verdict.may_send(self.route.repeatable(), u32::MAX)
-            && (self.tried.len() as u32) < self.route.attempts;
+            && (self.tried.len() as u32) < self.route.max_attempts;
         if !may
             || self.remaining_ms() == 0
             || self.quarantined_ms().await.is_some()
--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     events::EventSplitter,
-    leases::{Held, Leases},
+    leases::{HeldLease, Leases},
     node::View,
 };
 
@@ -30,12 +30,12 @@
     lapsed: Option<u64>,
 }
 
-impl Held for StoredLease {
+impl HeldLease for StoredLease {
     fn token(&self, _: Instant) -> Option<u64> {
         self.token
     }
 
-    fn lapsed(&self) -> Option<u64> {
+    fn expired_token(&self) -> Option<u64> {
         self.lapsed
     }
 }
@@ -63,10 +63,10 @@
 fn token_of_superseded_holder_is_none() {
     let holder = leases(Some(2), Some(2));
     let token = holder.token("g", true).unwrap();
-    holder.beat("g", token + 1);
+    holder.observe_token("g", token + 1);
     assert_eq!(holder.token("g", true), None);
     let next = leases(Some(3), Some(3));
-    next.beat("g", token + 1);
+    next.observe_token("g", token + 1);
     assert!(next.token("g", true).unwrap() > token + 1);
 }
 
@@ -77,16 +77,16 @@
 fn cede_token_lies_between_holders() {
     let old = leases(None, Some(2));
     let token = old.token("g", true).unwrap();
-    let ceded = old.cede("g", true).unwrap();
+    let ceded = old.hand_over("g", true).unwrap();
     assert_eq!(old.token("g", true), None);
     let successor = Leases::default();
-    successor.accept("g", ceded);
+    successor.accept_handover("g", ceded);
     assert_eq!(successor.token("g", true), Some(ceded));
     assert_eq!(successor.held(true), vec![("g".into(), ceded)]);
     assert!(ceded > token);
     // Whoever takes the lease from the store next is above both.
     assert!(leases(Some(3), Some(3)).token("g", true).unwrap() > ceded);
-    assert_eq!(leases(None, Some(2)).cede("g", false), None);
+    assert_eq!(leases(None, Some(2)).hand_over("g", false), None);
 }
 
 /// Guards against callers of all five domains that queue at the engines of one
--- a/crates/comfreyhall-node/tests/bind.rs
+++ b/crates/comfreyhall-node/tests/bind.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use comfreyhall_domain::{AdapterRef, Ask, Kind, Name, Tokens};
+use comfreyhall_domain::{AdapterRef, ClientRequest, Name, RouteKind, TokenCounts};
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_lease::Lease;
 use comfreyhall_node::Node;
@@ -89,16 +89,16 @@
     ended.expect("it never came to this");
 }
 
-fn model_ask(id: &str, adapter: Option<&str>) -> Ask {
-    Ask {
+fn model_ask(id: &str, adapter: Option<&str>) -> ClientRequest {
+    ClientRequest {
         adapter: Some(AdapterRef {
             model: "m".into(),
             adapter: adapter.map(Name::from),
         }),
         // Long enough for one more prompt to rule out a tie between engines.
-        tokens: Some(Tokens {
+        tokens: Some(TokenCounts {
             prompt: 1_000,
-            output: 20,
+            max_output: 20,
         }),
         ..ask(id)
     }
@@ -114,9 +114,9 @@
     let table = FakeTable::default();
     let theirs = Lease::new(table.clone(), "d", "h".into(), Duration::from_secs(3));
     theirs.step(Instant::now, true).await.unwrap();
-    let mut source = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
+    let mut source = scripted_source(route(RouteKind::Stream, 1, false), Some(engine()));
     let targets = &mut Arc::get_mut(&mut source).unwrap().targets;
-    targets[0].held[0].adapters = vec![("a1".into(), 1)];
+    targets[0].loaded[0].adapters = vec![("a1".into(), 1)];
     let backend = Arc::new(ScriptedBackend::default());
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let settings = settings_of("n", "127.0.0.1:1", &[holder], 0.25);
@@ -136,7 +136,7 @@
 /// the lease holder has to choose the engine.
 #[tokio::test]
 async fn serve_runs_of_all_daemons_are_counted() {
-    let source = scripted_source(route(Kind::Stream, 1, false), Some(engine()));
+    let source = scripted_source(route(RouteKind::Stream, 1, false), Some(engine()));
     let backend = Arc::new(ScriptedBackend::default());
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Hang);
     let table = FakeTable::default();
--- a/crates/comfreyhall-node/tests/caller.rs
+++ b/crates/comfreyhall-node/tests/caller.rs
@@ -8,7 +8,10 @@
     time::Duration,
 };
 
-use comfreyhall_domain::{Ask, Config, Entry, Given, GivenUnit, Kind, Route, Workspaces, read};
+use comfreyhall_domain::{
+    ClientRequest, Config, RawNumber, RawUnit, Route, RouteKind, WorkspaceEntry, Workspaces,
+    read_entries,
+};
 use comfreyhall_fakes::FakeTable;
 use comfreyhall_node::Node;
 use support::*;
@@ -50,7 +53,7 @@
     (node, backend, source)
 }
 
-async fn serve(node: &Arc<Node>, ask: Ask) -> CallerResult {
+async fn serve(node: &Arc<Node>, ask: ClientRequest) -> CallerResult {
     caller_result(node.serve(ask).await).await
 }
 
@@ -65,7 +68,11 @@
 /// key.
 #[tokio::test]
 async fn serve_passes_workspace_of_key() {
-    let (node, backend, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, backend, _) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(
         serve(&node, keyed("r1", "key of b")).await,
         CallerResult::Complete(200)
@@ -78,7 +85,8 @@
 /// one.
 #[tokio::test]
 async fn serve_unknown_key_is_final() {
-    let (node, backend, _) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, backend, _) =
+        daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     assert_eq!(
         serve(&node, keyed("r1", "guess")).await,
         CallerResult::UnknownKey
@@ -91,7 +99,7 @@
 async fn serve_public_route_needs_no_key() {
     let open = Route {
         public: true,
-        ..route(Kind::Safe, 1, false)
+        ..route(RouteKind::Idempotent, 1, false)
     };
     let (node, backend, _) = daemon(open, workspaces(&["a"])).await;
     assert_eq!(serve(&node, ask("r1")).await, CallerResult::Complete(200));
@@ -106,7 +114,11 @@
 /// Guards against keys that go on working after their revocation.
 #[tokio::test]
 async fn serve_revoked_key_is_refused() {
-    let (node, _, source) = daemon(route(Kind::Safe, 1, false), workspaces(&["a", "b"])).await;
+    let (node, _, source) = daemon(
+        route(RouteKind::Idempotent, 1, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     assert_eq!(
         serve(&node, keyed("r1", "key of b")).await,
         CallerResult::Complete(200)
@@ -128,7 +140,11 @@
 #[tokio::test]
 async fn serve_key_revoked_while_waiting() {
     let (node, backend, source) =
-        daemon(route(Kind::Safe, 2, false), workspaces(&["a", "b"])).await;
+        daemon(
+        route(RouteKind::Idempotent, 2, false),
+        workspaces(&["a", "b"]),
+    )
+    .await;
     let full = Behavior::Refuse(comfreyhall_domain::Refusal::Full);
     *backend.default_behavior.lock().unwrap() = Some(full);
     let waits = tokio::spawn({
@@ -149,7 +165,7 @@
 /// daemon that cannot read the settings does not know it yet.
 #[tokio::test]
 async fn serve_unknown_key_with_stale_settings_may_retry() {
-    let (node, _, source) = daemon(route(Kind::Safe, 1, false), workspaces(&["a"])).await;
+    let (node, _, source) = daemon(route(RouteKind::Idempotent, 1, false), workspaces(&["a"])).await;
     source.unavailable.store(true, Ordering::SeqCst);
     let mut result = serve(&node, keyed("r0", "key of new")).await;
     for round in 1..200 {
@@ -172,7 +188,7 @@
 /// of their revocation, if the deployment sets a limit.
 #[tokio::test]
 async fn serve_keys_expire_without_store() {
-    let route = route(Kind::Safe, 1, false);
+    let route = route(RouteKind::Idempotent, 1, false);
     let (node, backend, source) = daemon_with(route, workspaces(&["a"]), Some(300)).await;
     source.unavailable.store(true, Ordering::SeqCst);
     let mut result = CallerResult::Complete(200);
@@ -194,20 +210,20 @@
 
 /// A workspace with a quota of `rate` requests a second and a burst of as many.
 fn with_quota(rate: f64) -> Workspaces {
-    let a = Entry {
-        unit: GivenUnit::Requests,
-        rate: Given::Number(rate),
-        burst: Given::Number(rate),
+    let a = WorkspaceEntry {
+        unit: RawUnit::Requests,
+        rate: RawNumber::Number(rate),
+        burst: RawNumber::Number(rate),
         ..entry("a")
     };
-    read(hasher(), vec![a, entry("b")]).0
+    read_entries(hasher(), vec![a, entry("b")]).0
 }
 
 /// Guards against a workspace that exceeds its quota, and against one over its
 /// quota that costs the others.
 #[tokio::test]
 async fn serve_over_quota_is_refused() {
-    let (node, backend, _) = daemon(route(Kind::Safe, 1, false), with_quota(5.0)).await;
+    let (node, backend, _) = daemon(route(RouteKind::Idempotent, 1, false), with_quota(5.0)).await;
     // The burst is available one second after the daemon knows its peers.
     let mut answered = 0;
     while answered == 0 {
@@ -246,7 +262,7 @@
 /// Guards against credit that is lost with requests that did not run.
 #[tokio::test]
 async fn serve_refused_by_targets_returns_credit() {
-    let (node, backend, _) = daemon(route(Kind::Safe, 1, false), with_quota(3.0)).await;
+    let (node, backend, _) = daemon(route(RouteKind::Idempotent, 1, false), with_quota(3.0)).await;
     while serve(&node, keyed("first", "key of a")).await != CallerResult::Complete(200) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/comfreyhall-node/tests/place.rs
+++ b/crates/comfreyhall-node/tests/place.rs
@@ -4,23 +4,23 @@
 
 use std::{sync::atomic::Ordering, time::Duration};
 
-use comfreyhall_domain::{AdapterRef, Kind};
+use comfreyhall_domain::{AdapterRef, RouteKind};
 use comfreyhall_node::ports::{Action, Command};
 use support::*;
 
-fn adapter_ask(id: &str) -> comfreyhall_domain::Ask {
+fn adapter_ask(id: &str) -> comfreyhall_domain::ClientRequest {
     let mut ask = ask(id);
     ask.adapter = Some(AdapterRef {
         model: "m".into(),
         adapter: Some("a1".into()),
     });
-    ask.left_ms = Some(8_000);
+    ask.remaining_ms = Some(8_000);
     ask
 }
 
 #[tokio::test]
 async fn serve_loads_adapter_first() {
-    let route = route(Kind::Stream, 1, false);
+    let route = route(RouteKind::Stream, 1, false);
     let behaviors = vec![Behavior::Stream(vec![1], true)];
     let (node, backend, _) = start_node_with(route, Some(engine()), behaviors).await;
     backend.finish_loads.store(true, Ordering::SeqCst);
@@ -40,7 +40,7 @@
 /// has to be checked again after the load.
 #[tokio::test]
 async fn serve_target_drains_while_waiting() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
     let (node, backend, source) = start_node_with(long, Some(engine()), Vec::new()).await;
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
@@ -62,9 +62,9 @@
 /// timeout of a quarter of a second, delayed the next command.
 #[tokio::test]
 async fn serve_unanswered_command_is_repeated() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 4_000;
+    long.objective_ms = 4_000;
     let behaviors = vec![Behavior::Stream(vec![1], true)];
     let (node, backend, _) = start_node_with(long, Some(engine()), behaviors).await;
     backend.finish_loads.store(true, Ordering::SeqCst);
@@ -97,7 +97,7 @@
     out
 }
 
-fn ask_for(id: &str, adapter: &str) -> comfreyhall_domain::Ask {
+fn ask_for(id: &str, adapter: &str) -> comfreyhall_domain::ClientRequest {
     let mut ask = adapter_ask(id);
     ask.adapter.as_mut().unwrap().adapter = Some(adapter.into());
     ask
@@ -109,9 +109,9 @@
 /// slot and the wait for a load have separate limits.
 #[tokio::test]
 async fn serve_load_outlasts_wait_for_slot() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 4_000;
+    long.objective_ms = 4_000;
     let (node, backend, _) = start_node_with(long, Some(engine()), Vec::new()).await;
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let call =
@@ -131,9 +131,9 @@
 /// request must not be tied to the engine that it chose first.
 #[tokio::test]
 async fn serve_takes_freed_slot() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 8_000;
-    long.target_ms = 8_000;
+    long.objective_ms = 8_000;
     let behaviors = vec![
         Behavior::Hang,
         Behavior::Hang,
--- a/crates/comfreyhall-node/tests/serve.rs
+++ b/crates/comfreyhall-node/tests/serve.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use comfreyhall_domain::{Kind, Refusal};
+use comfreyhall_domain::{Refusal, RouteKind};
 use support::*;
 
 async fn serve(
-    kind: Kind,
+    kind: RouteKind,
     attempts: u32,
     resumable: bool,
     behaviors: Vec<Behavior>,
@@ -22,7 +22,7 @@
 async fn serve_answer_is_passed_on() {
     let behaviors = vec![Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 1, false, behaviors).await,
         (CallerResult::Complete(200), 1)
     );
 }
@@ -34,7 +34,7 @@
 async fn serve_unsafe_lost_answer_is_unknown() {
     let behaviors = vec![Behavior::LoseAnswer, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 2, false, behaviors).await,
         (CallerResult::Unknown, 1)
     );
 }
@@ -43,7 +43,7 @@
 async fn serve_unsafe_unreachable_is_retried() {
     let behaviors = vec![Behavior::Unreachable, Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 1, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -52,7 +52,7 @@
 async fn serve_unsafe_refused_is_retried() {
     let behaviors = vec![Behavior::Refuse(Refusal::Full), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Unsafe, 2, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 2, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -64,7 +64,7 @@
 #[tokio::test]
 async fn serve_full_target_is_retried_slowly() {
     let behaviors = (0..20).map(|_| Behavior::Refuse(Refusal::Full)).collect();
-    let (result, sends) = serve(Kind::Unsafe, 1, false, behaviors).await;
+    let (result, sends) = serve(RouteKind::NonIdempotent, 1, false, behaviors).await;
     assert_eq!(result, CallerResult::NotRun);
     assert!(sends <= 3, "{sends} sends");
 }
@@ -73,7 +73,7 @@
 async fn serve_safe_error_is_retried_elsewhere() {
     let behaviors = vec![Behavior::Answer(500, 0), Behavior::Answer(200, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, behaviors).await,
+        serve(RouteKind::Idempotent, 2, false, behaviors).await,
         (CallerResult::Complete(200), 2)
     );
 }
@@ -82,7 +82,7 @@
 async fn serve_safe_last_error_is_passed_on() {
     let behaviors = vec![Behavior::Answer(500, 0), Behavior::Answer(500, 0)];
     assert_eq!(
-        serve(Kind::Safe, 2, false, behaviors).await,
+        serve(RouteKind::Idempotent, 2, false, behaviors).await,
         (CallerResult::Complete(500), 2)
     );
 }
@@ -95,7 +95,7 @@
     for status in [429, 503, 408] {
         let behaviors = vec![Behavior::UnprovenFailure(status)];
         assert_eq!(
-            serve(Kind::Unsafe, 1, false, behaviors).await,
+            serve(RouteKind::NonIdempotent, 1, false, behaviors).await,
             (CallerResult::Unknown, 1)
         );
     }
@@ -107,7 +107,7 @@
 async fn serve_unverified_success_is_unknown() {
     let behaviors = vec![Behavior::UnverifiedSuccess];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 1, false, behaviors).await,
         (CallerResult::Unknown, 1)
     );
 }
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn serve_stream_is_passed_on() {
     let behaviors = vec![Behavior::Stream(vec![1, 2, 3], true)];
-    let result = serve(Kind::Stream, 1, false, behaviors).await;
+    let result = serve(RouteKind::Stream, 1, false, behaviors).await;
     assert_eq!(result, (CallerResult::Stream(vec![1, 2, 3], true), 1));
 }
 
@@ -127,7 +127,7 @@
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![3, 4], true),
     ];
-    let (node, backend) = start_node(route(Kind::Stream, 2, true), behaviors).await;
+    let (node, backend) = start_node(route(RouteKind::Stream, 2, true), behaviors).await;
     let result = caller_result(node.serve(ask("q")).await).await;
     assert_eq!(result, CallerResult::Stream(vec![1, 2, 3, 4], true));
     let seen = backend.sent.lock().unwrap();
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn serve_stream_not_resumable_is_aborted() {
     let behaviors = vec![Behavior::Stream(vec![1, 2], false)];
-    let result = serve(Kind::Stream, 2, false, behaviors).await;
+    let result = serve(RouteKind::Stream, 2, false, behaviors).await;
     assert_eq!(result, (CallerResult::Stream(vec![1, 2], false), 1));
 }
 
@@ -153,7 +153,7 @@
         Behavior::Stream(vec![1, 2], false),
         Behavior::Stream(vec![4, 5], true),
     ];
-    let result = serve(Kind::Stream, 2, true, behaviors).await;
+    let result = serve(RouteKind::Stream, 2, true, behaviors).await;
     assert_eq!(result, (CallerResult::Stream(vec![1, 2], false), 2));
 }
 
@@ -161,7 +161,7 @@
 async fn serve_hung_target_times_out() {
     let behaviors = vec![Behavior::Hang];
     assert_eq!(
-        serve(Kind::Unsafe, 1, false, behaviors).await,
+        serve(RouteKind::NonIdempotent, 1, false, behaviors).await,
         (CallerResult::TimedOut, 1)
     );
 }
--- a/crates/comfreyhall-node/tests/stop.rs
+++ b/crates/comfreyhall-node/tests/stop.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use comfreyhall_domain::Kind;
-use comfreyhall_node::leave;
+use comfreyhall_domain::RouteKind;
+use comfreyhall_node::drain;
 use support::*;
 
 /// Guards against a connection that closes without an answer at the very end of
@@ -13,11 +13,11 @@
 /// bytes to be sent, so a request accepted then would be lost when it exits.
 #[tokio::test]
 async fn leave_refuses_before_it_ends() {
-    let (node, backend) = start_node(route(Kind::Safe, 1, false), Vec::new()).await;
+    let (node, backend) = start_node(route(RouteKind::Idempotent, 1, false), Vec::new()).await;
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Answer(200, 400));
     let stopping = node.clone();
     let stop = tokio::spawn(async move {
-        leave(&stopping, || {}).await;
+        drain(&stopping, || {}).await;
         stopping.in_flight()
     });
     let mut refused = false;
@@ -36,15 +36,15 @@
 /// stream that may outlast the stop, and it must be refused.
 #[tokio::test]
 async fn leave_refuses_late_stream() {
-    let mut long = route(Kind::Stream, 1, false);
+    let mut long = route(RouteKind::Stream, 1, false);
     long.timeout_ms = 15_000;
     let (node, backend) = start_node(long, Vec::new()).await;
     *backend.default_behavior.lock().unwrap() = Some(Behavior::Stream(vec![1], true));
     let stopping = node.clone();
-    let stop = tokio::spawn(async move { leave(&stopping, || {}).await });
+    let stop = tokio::spawn(async move { drain(&stopping, || {}).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut long = ask("early");
-    long.left_ms = Some(15_000);
+    long.remaining_ms = Some(15_000);
     let early = caller_result(node.serve(long.clone()).await).await;
     assert_eq!(early, CallerResult::Stream(vec![1], true));
     stop.await.unwrap();
--- a/crates/comfreyhall-node/tests/support/mod.rs
+++ b/crates/comfreyhall-node/tests/support/mod.rs
@@ -102,7 +102,7 @@
     fn send(
         &self,
         target: Arc<Target>,
-        ask: Arc<Ask>,
+        ask: Arc<ClientRequest>,
         options: SendOptions,
     ) -> BoxFuture<'static, Result<Response, SendError>> {
         self.sent.lock().unwrap().push(SentRequest {
@@ -221,8 +221,8 @@
 }
 
 /// A model without adapters.
-pub fn held(model: &str) -> Held {
-    Held {
+pub fn held(model: &str) -> LoadedModel {
+    LoadedModel {
         model: model.into(),
         adapters: Vec::new(),
     }
@@ -334,20 +334,20 @@
     }
 }
 
-pub fn route(kind: Kind, attempts: u32, resumable: bool) -> Route {
+pub fn route(kind: RouteKind, attempts: u32, resumable: bool) -> Route {
     Route {
         name: "r".into(),
         host: "h".into(),
-        prefix: "/".into(),
+        path_prefix: "/".into(),
         kind,
         timeout_ms: 3_000,
-        target_ms: 300,
+        objective_ms: 300,
         priority: 0,
-        shares: vec![Share {
+        shares: vec![TrafficShare {
             service: "s".into(),
             weight: 1,
         }],
-        attempts,
+        max_attempts: attempts,
         resumable,
         public: false,
     }
@@ -357,15 +357,15 @@
     Target {
         id: id.into(),
         name: id.into(),
-        born: 0,
+        started_at_ms: 0,
         service: "s".into(),
         addr: "127.0.0.1:1".into(),
-        domain: "d".into(),
+        failure_domain: "d".into(),
         stage: Stage::Ready,
-        slots: 4,
-        held: Vec::new(),
-        sequence: 0,
-        version: 1,
+        max_running: 4,
+        loaded: Vec::new(),
+        accepted_commands: 0,
+        row_version: 1,
     }
 }
 
@@ -400,13 +400,13 @@
 }
 
 /// A model service whose engines have one slot for adapters of model `m`.
-pub fn engine() -> Engine {
-    Engine {
-        slots: 4,
+pub fn engine() -> EngineConfig {
+    EngineConfig {
+        max_running: 4,
         cache_tokens: 1_000,
         weights_mb: 100.0,
-        places: 1,
-        loads_rate: 1.0,
+        adapter_slots: 1,
+        load_rate: 1.0,
         models: vec![Model {
             name: "m".into(),
             weights_mb: 50.0,
@@ -418,14 +418,14 @@
 
 /// A source with `route` and targets `a` and `b`, which are engines if `engine`
 /// is given.
-pub fn scripted_source(route: Route, engine: Option<Engine>) -> Arc<ScriptedSource> {
+pub fn scripted_source(route: Route, engine: Option<EngineConfig>) -> Arc<ScriptedSource> {
     let mut targets = vec![target("a"), target("b")];
     if engine.is_some() {
-        targets.iter_mut().for_each(|t| t.held = vec![held("m")]);
+        targets.iter_mut().for_each(|t| t.loaded = vec![held("m")]);
     }
     let service = Service {
         name: "s".into(),
-        connections: 10,
+        max_connections: 10,
         engine,
     };
     Arc::new(ScriptedSource {
@@ -433,11 +433,11 @@
             version: 1,
             routes: vec![route],
             services: [("s".into(), service)].into_iter().collect(),
-            limits: Limits {
+            limits: RequestLimits {
                 header_bytes: 1,
                 body_bytes: 1,
-                header_ms: 1,
-                idle_ms: 1,
+                header_timeout_ms: 1,
+                idle_timeout_ms: 1,
             },
             workspaces: None,
         },
@@ -452,7 +452,7 @@
 /// The same; also returns its source.
 pub async fn start_node_with(
     route: Route,
-    engine: Option<Engine>,
+    engine: Option<EngineConfig>,
     behaviors: Vec<Behavior>,
 ) -> (Arc<Node>, Arc<ScriptedBackend>, Arc<ScriptedSource>) {
     let source = scripted_source(route, engine);
@@ -466,17 +466,17 @@
     (node, backend, source)
 }
 
-pub fn ask(id: &str) -> Ask {
-    Ask {
+pub fn ask(id: &str) -> ClientRequest {
+    ClientRequest {
         id: id.into(),
         key: None,
         host: "h".into(),
-        left_ms: Some(2_000),
+        remaining_ms: Some(2_000),
         adapter: None,
         tokens: None,
-        parts: Vec::new(),
-        last_event: None,
-        message: Message {
+        prompt_segments: Vec::new(),
+        last_event_id: None,
+        forwarded: ForwardedRequest {
             method: Method::GET,
             path: "/x".into(),
             headers: HeaderMap::new(),
@@ -536,21 +536,21 @@
 }
 
 /// The workspace `name`, without a quota, whose key is `key of NAME`.
-pub fn entry(name: &str) -> Entry {
-    Entry {
+pub fn entry(name: &str) -> WorkspaceEntry {
+    WorkspaceEntry {
         name: name.to_string(),
         keys: vec![hasher().hash(format!("key of {name}").as_bytes())],
-        ..Entry::default()
+        ..WorkspaceEntry::default()
     }
 }
 
 /// Workspaces without quotas.
 pub fn workspaces(names: &[&str]) -> Workspaces {
-    read(hasher(), names.iter().map(|n| entry(n)).collect()).0
+    read_entries(hasher(), names.iter().map(|n| entry(n)).collect()).0
 }
 
-pub fn keyed(id: &str, key: &str) -> Ask {
-    Ask {
+pub fn keyed(id: &str, key: &str) -> ClientRequest {
+    ClientRequest {
         key: Some(PresentedKey::new(key.as_bytes())),
         ..ask(id)
     }
