--- a/crates/comfreyhall-node/src/outbound/shut.rs
+++ b/crates/comfreyhall-node/src/outbound/shut.rs
@@ -53,7 +53,7 @@
         }
         match (signals.cooldown_ms(id, now), signals.limit(id, now)) {
             (0, Some(limit)) => format!("{id} is limited to {} requests per second", limit.per_s()),
-            (0, None) => format!("{id} is available"),
+            (0, None) => format!("{id} announced nothing"),
             (ms, _) => format!("{id} is in cooldown for {ms} ms"),
         }
     });
