--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/local.rs
@@ -7,9 +7,9 @@
 
 use super::{BindError, BindParams, Binding};
 use crate::{
+    active_send::PendingLoad,
     choose::{self, Criteria, Plan},
     fleet::adapter_key,
-    flight::PendingLoad,
     keeper::{self, Placed},
     leases,
     node::Node,
--- a/crates/comfreyhall-node/src/bind/mod.rs
+++ b/crates/comfreyhall-node/src/bind/mod.rs
@@ -12,7 +12,7 @@
 //! If the holder does not answer, the daemon sends to the engine that it
 //! considers best itself, provided that no load has to come first.
 
-mod here;
+mod local;
 mod wire;
 
 use std::{sync::Arc, time::Duration};
@@ -117,7 +117,7 @@
 /// Binds a run to an engine chosen by the holder of its group's lease.
 pub(crate) async fn bind(node: &Arc<Node>, params: BindParams) -> Result<Binding, BindError> {
     if node.token(&params.group).is_some() {
-        return here::bind(node, params).await;
+        return local::bind(node, params).await;
     }
     let now = node.now();
     let holder = node.fleet.holder(&params.group, now);
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -5,7 +5,7 @@
 use comfreyhall_domain::{AdapterRef, Name, PromptSegment, TokenCounts};
 use comfreyhall_protocol::{BindReply, BindRequest, PromptPart};
 
-use super::{BindError, BindParams, Binding, here};
+use super::{BindError, BindParams, Binding, local};
 use crate::{choose::Requirements, fleet::Run, node::Node};
 
 /// The request that the daemon at `from` sends.
@@ -86,7 +86,7 @@
     if node.token(&group).is_none() {
         return refusal(BindError::no_engine("this daemon does not hold the lease"));
     }
-    match here::bind(node, params).await {
+    match local::bind(node, params).await {
         Ok(binding) => {
             let now = node.now();
             let ahead = node
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    flight::RunHandle,
+    active_send::RunHandle,
     keeper::EngineCandidate,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
--- a/crates/comfreyhall-node/src/lib.rs
+++ b/crates/comfreyhall-node/src/lib.rs
@@ -8,6 +8,7 @@
 //! through the traits of [`ports`]; a driver implements them for each wire
 //! format.
 
+mod active_send;
 mod bind;
 mod caps;
 mod choose;
@@ -15,11 +16,10 @@
 mod events;
 mod facts;
 mod fleet;
-mod flight;
-mod flood;
 mod follow;
 mod keeper;
 mod leases;
+mod log_limit;
 mod members;
 mod metrics;
 mod node;
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -13,7 +13,7 @@
 use comfreyhall_protocol::TargetWord;
 use comfreyhall_workspace::{PlacedQuota, coordinator_group};
 
-use super::{log, shut::unavailable};
+use super::{availability::unavailable, log};
 use crate::{
     caps::{self, Credit, QuotaError, QuotaKind},
     node::Node,
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -5,9 +5,9 @@
 //! what targets announce about themselves from the head of each response,
 //! whatever its status and even if nobody waits for it any more.
 
+mod availability;
 mod limits;
 mod log;
-mod shut;
 
 use std::{
     borrow::Cow,
@@ -21,8 +21,10 @@
 use tokio::time::timeout;
 
 pub(crate) use self::{
+    availability::{
+        Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable,
+    },
     limits::{grant, holder_notices, limits, merge_notices, notices, own_notices},
-    shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
     caps::{self, Credit, QuotaError, QuotaKind},
--- a/crates/comfreyhall-node/src/relay.rs
+++ b/crates/comfreyhall-node/src/relay.rs
@@ -14,8 +14,8 @@
 use futures::StreamExt;
 
 use crate::{
+    active_send::ActiveSend,
     events::{Event, EventSplitter},
-    flight::ActiveSend,
     ports::Body,
     serve::{ActiveRequest, EventStream},
 };
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -6,8 +6,8 @@
 //! once.
 
 mod caller;
-mod hold;
 mod place;
+mod quarantine;
 mod send;
 
 use std::{
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -7,10 +7,10 @@
 
 use super::{ActiveRequest, RECHECK_MS, send::UNREACHABLE_MS};
 use crate::{
+    active_send::RunHandle,
     bind::{self, BindError, BindParams, Binding},
     choose::Plan,
     fleet::adapter_key,
-    flight::RunHandle,
 };
 
 /// Result of binding a request.
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/quarantine.rs
@@ -5,7 +5,7 @@
 
 use super::{ActiveRequest, Reply};
 use crate::{
-    flight::ActiveSend,
+    active_send::ActiveSend,
     quarantine::{self, Admission},
 };
 
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -10,8 +10,8 @@
 
 use super::{ActiveRequest, Reply, complete_reply, place::BindOutcome};
 use crate::{
+    active_send::{ActiveSend, RunHandle},
     choose::{self, Plan},
-    flight::{ActiveSend, RunHandle},
     outbound::{self, Permit, UnavailableTargets},
     ports::{Body, BodyError, Response, SendError, SendOptions},
     relay::Relay,
