--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -1,4 +1,4 @@
-//! Gathers the choices for one request from the view.
+//! Chooses the target of one request from what this daemon knows.
 
 use std::sync::Arc;
 
@@ -13,67 +13,68 @@
 };
 
 use crate::{
+    active_send::RunHandle,
     engine_control::EngineCandidate,
-    flight::Seat,
     node::{Node, View},
     outbound::{self, UnavailableTargets},
 };
 
-/// How long after a version of an adapter was named the one before still
-/// serves, as part of the bound: replacements are on their way meanwhile.
-const GRACE_PART: u64 = 2;
+/// Divisor of the version bound: how long after a new version of an adapter was
+/// named the previous one still serves, while replacements are loaded.
+const VERSION_GRACE_DIVISOR: u64 = 2;
 
-/// What running on a version that is about to be replaced costs, in ms. The
-/// replacement waits for its runs, and requests that come meanwhile are
-/// refused there: unless it is much sooner, the new version is loaded beside.
-const OUTDATED_MS: f64 = 250.0;
+/// Cost of running on a version that is about to be replaced, in ms. The
+/// replacement waits for the runs in progress, and requests that arrive
+/// meanwhile are refused there; so the new version is loaded elsewhere unless
+/// the old one is much sooner.
+const OUTDATED_COST_MS: f64 = 250.0;
 
-/// How requests spread in a large fleet, in ms: about the prompt of one
-/// request, which is what a daemon that hears of the others twice a second
-/// may miss.
-const STALE_MS: f64 = 150.0;
+/// Width within which requests spread in a large fleet, in ms: about one
+/// prompt, which is what a daemon that receives gossip twice a second may not
+/// know of.
+const STALE_SPREAD_MS: f64 = 150.0;
 
-/// Homes beyond the targets that hold an adapter to which it may be loaded,
-/// at least: as many as hold it already, so that the copies of an adapter
-/// that has become hot double in the time of a load.
-/// With one, an adapter waits for that engine however long its queue is; with
-/// many it comes to engines that did not have it lately, from the weight store.
-const NEW_HOMES: usize = 2;
+/// Minimum number of engines to which an adapter may be loaded, beyond those
+/// that hold it. Otherwise as many as hold it already, so that the copies of an
+/// adapter that has become hot double within the time of a load. With 1, an
+/// adapter waits for that engine however long its queue is; with many, it is
+/// loaded from the weight store to engines that have not cached it.
+const MIN_NEW_HOMES: usize = 2;
 
-/// Engines that share a wish for an adapter, at most. A dozen of them have a
-/// place every 30 ms with all in use; with every engine of a group of 31 in
-/// each wish, its holder spent its core on looking through wishes, and left
-/// half of them unseen until their time was up.
-const MOST_PICKS: usize = 12;
+/// Maximum number of engines that share a placement request. A dozen of them
+/// free a slot every 30 ms when all are in use. With every engine of a group of
+/// 31 in each request, the lease holder spent its core on scanning placement
+/// requests, and half of them expired unseen.
+const MAX_CANDIDATES: usize = 12;
 
-/// What an engine of another failure domain costs for a hot adapter, in ms:
-/// each domain has engines of its own for it. Daemons hear of the queues
-/// elsewhere a second late, and without this the callers of all domains meet
-/// at the engines that had it first.
-const AWAY_MS: f64 = 150.0;
+/// Cost of an engine in another failure domain for a hot adapter, in ms: each
+/// domain has engines of its own for it. Daemons learn of remote queues a
+/// second late, and without this cost the callers of all domains converge on
+/// the engines that had the adapter first.
+const REMOTE_DOMAIN_COST_MS: f64 = 150.0;
 
-/// Wait for a place where all are in use, in ms: a request holds its place
-/// for about a second, and several of them end in that time.
-const FULL_MS: f64 = 250.0;
+/// Expected wait for a slot where all are in use, in ms: a request holds its
+/// slot for about a second, and several of them end in that time.
+const FULL_ENGINE_WAIT_MS: f64 = 250.0;
 
-/// What a request asks of an engine.
+/// What a request needs from an engine.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Need {
+pub(crate) struct Requirements {
     /// The model and the adapter.
     pub(crate) adapter: Option<AdapterRef>,
-    /// Size of the generation.
+    /// Prompt and output tokens.
     pub(crate) tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
-    pub(crate) parts: Vec<PromptSegment>,
+    pub(crate) prompt_segments: Vec<PromptSegment>,
 }
 
-impl Need {
-    /// What `ask` asks of an engine.
-    pub(crate) fn of(ask: &ClientRequest) -> Self {
+impl Requirements {
+    /// The requirements of `request`.
+    pub(crate) fn of(request: &ClientRequest) -> Self {
         Self {
-            adapter: ask.adapter.clone(),
-            tokens: ask.tokens,
-            parts: ask.prompt_segments.clone(),
+            adapter: request.adapter.clone(),
+            tokens: request.tokens,
+            prompt_segments: request.prompt_segments.clone(),
         }
     }
 
@@ -81,73 +82,73 @@
         self.tokens.map_or(0, |t| u64::from(t.prompt))
     }
 
-    /// Prompt tokens that no other request shares.
+    /// Prompt tokens that are not shared with other requests.
     fn own_tokens(&self) -> u64 {
-        let shared = self.parts.iter().rev().skip(1);
+        let shared = self.prompt_segments.iter().rev().skip(1);
         let shared: u64 = shared.map(|p| u64::from(p.tokens)).sum();
         self.prompt().saturating_sub(shared).max(1)
     }
 }
 
-/// Where a request goes.
+/// The chosen target of a request, and what is expected there.
 pub(crate) struct Plan {
     pub(crate) target: Arc<Target>,
-    /// Prompt tokens to read there.
-    pub(crate) tokens: u64,
-    /// Least version that will do; 0 for any.
-    pub(crate) version: u64,
-    /// Version to insist on.
-    pub(crate) expect: Option<u64>,
-    /// Estimated ms to the first token, the load included.
+    /// Prompt tokens to prefill there.
+    pub(crate) unread_tokens: u64,
+    /// Minimum version of the adapter; 0 for any.
+    pub(crate) min_version: u64,
+    /// Version that the target must have to run it.
+    pub(crate) required_version: Option<u64>,
+    /// Estimated ms to the first token, including the load.
     pub(crate) wait_ms: f64,
     /// Whether the adapter has to be loaded first.
-    pub(crate) loads: bool,
-    /// Engines that may load it, the target first, for the holder.
-    pub(crate) picks: Vec<EngineCandidate>,
-    /// The run that a holder has bound to the target.
-    pub(crate) seat: Option<Seat>,
-    /// Whether the holder has granted it a part of the target's limit.
+    pub(crate) needs_load: bool,
+    /// Engines that may load it, best first, for the lease holder.
+    pub(crate) candidates: Vec<EngineCandidate>,
+    /// The run that the lease holder has bound to the target.
+    pub(crate) run_handle: Option<RunHandle>,
+    /// Whether the lease holder has granted it a part of the target's limit.
     pub(crate) granted: bool,
 }
 
-/// What a choice is made for.
-pub(crate) struct Wish<'a> {
-    pub(crate) need: &'a Need,
+/// The input of a choice.
+pub(crate) struct Criteria<'a> {
+    pub(crate) requirements: &'a Requirements,
     /// Latency objective of its route, in ms.
-    pub(crate) aim_ms: u64,
+    pub(crate) objective_ms: u64,
     pub(crate) service: &'a Name,
-    /// Group whose engines alone come into question: the caller holds its
-    /// lease and knows of every run there.
+    /// Restricts the choice to the engines of this group, whose lease this daemon
+    /// holds and of which it knows every run.
     pub(crate) group: Option<&'a str>,
     pub(crate) engine: Option<&'a EngineConfig>,
-    /// Targets it was sent to.
+    /// Targets that have already received it.
     pub(crate) tried: &'a [Name],
     /// Targets that cannot take it now.
-    pub(crate) closed: &'a [Name],
-    /// Whether only targets tried before may be used.
+    pub(crate) unavailable: &'a [Name],
+    /// Whether only targets in `tried` may be used.
     pub(crate) only_tried: bool,
-    pub(crate) draw: u64,
+    pub(crate) seed: u64,
 }
 
-impl Wish<'_> {
-    fn open(&self, target: &Target) -> bool {
+impl Criteria<'_> {
+    fn allows(&self, target: &Target) -> bool {
         self.group.is_none_or(|g| *target.failure_domain == *g)
-            && !self.closed.contains(&target.id)
+            && !self.unavailable.contains(&target.id)
             && (!self.only_tried || self.tried.contains(&target.id))
     }
 }
 
-/// The target for a request; `None` if none can take it now.
-pub(crate) fn choose(node: &Node, wish: &Wish<'_>) -> Option<Plan> {
+/// Chooses the target of a request; `None` if none can take it now.
+pub(crate) fn choose(node: &Node, criteria: &Criteria<'_>) -> Option<Plan> {
     let now = node.now();
     let settings = node.settings();
     let policies = settings.policies;
     let unavailable = outbound::UnavailableTargets::current(node, now);
     let view = node.view();
-    let targets = view.ready_targets(wish.service, now);
+    let targets = view.ready_targets(criteria.service, now);
     let targets: Vec<Arc<Target>> = targets
         .into_iter()
-        .filter(|t| wish.open(t) && !unavailable.blocks_sends(&t.id))
+        .filter(|t| criteria.allows(t) && !unavailable.blocks_sends(&t.id))
         .collect();
     let base = |t: &Target| Candidate {
         id: t.id.clone(),
@@ -161,20 +162,28 @@
             true => view.board.health(&t.id, now),
             false => 1.0,
         },
-        tried: wish.tried.contains(&t.id),
+        tried: criteria.tried.contains(&t.id),
     };
     let mut loaders = Vec::new();
-    let (choices, version) = match (&wish.need.adapter, wish.engine) {
+    let (choices, min_version) = match (&criteria.requirements.adapter, criteria.engine) {
         (Some(adapter), Some(engine)) => {
-            let version = least_version(node, &view, adapter, now);
-            let wanted = Wanted {
+            let version = min_version_of(node, &view, adapter, now);
+            let engine_needs = EngineNeeds {
                 adapter,
                 engine,
                 version,
             };
-            let options = engine_choices(node, &view, wish, wanted, &targets, &unavailable, &base);
-            loaders = options.loaders;
-            (options.open, version)
+            let engine_choices = engine_choices(
+                node,
+                &view,
+                criteria,
+                engine_needs,
+                &targets,
+                &unavailable,
+                &base,
+            );
+            loaders = engine_choices.loaders;
+            (engine_choices.eligible, version)
         }
         _ => {
             let plain = |t: &Arc<Target>| Candidate {
@@ -184,136 +193,140 @@
             (targets.iter().map(plain).collect(), 0)
         }
     };
-    let again_ms = wish.aim_ms as f64;
-    let spread = match node.fleet.is_large() && wish.group.is_none() {
-        true => Spread::Stale(STALE_MS),
+    let retry_cost_ms = criteria.objective_ms as f64;
+    let spread = match node.fleet.is_large() && criteria.group.is_none() {
+        true => Spread::Stale(STALE_SPREAD_MS),
         false => Spread::Equal,
     };
-    let best = selection::select(&choices, again_ms, spread, wish.draw)?;
+    let best = selection::select(&choices, retry_cost_ms, spread, criteria.seed)?;
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
-    let loads = best.load_ms > 0.0;
-    let picks = match loads && wish.group.is_some() {
-        true if policies.shared_waits => picks(best, &loaders, again_ms),
-        true => picks(best, &[], again_ms),
+    let needs_load = best.load_ms > 0.0;
+    let candidates = match needs_load && criteria.group.is_some() {
+        true if policies.shared_waits => candidates(best, &loaders, retry_cost_ms),
+        true => candidates(best, &[], retry_cost_ms),
         false => Vec::new(),
     };
-    let tokens = unread(&view, wish.need, &target.id);
+    let unread_tokens = unread_tokens(&view, criteria.requirements, &target.id);
     Some(Plan {
-        tokens,
-        version,
-        expect: (version > 0).then_some(version),
+        unread_tokens,
+        min_version,
+        required_version: (min_version > 0).then_some(min_version),
         wait_ms: best.wait_ms + best.load_ms,
         target,
-        loads,
-        picks,
-        seat: None,
+        needs_load,
+        candidates,
+        run_handle: None,
         granted: false,
     })
 }
 
 /// `best` and other engines of its group that may load the adapter.
-fn picks(best: &Candidate, loaders: &[Candidate], again_ms: f64) -> Vec<EngineCandidate> {
+fn candidates(best: &Candidate, loaders: &[Candidate], retry_cost_ms: f64) -> Vec<EngineCandidate> {
     let others = loaders.iter().filter(|c| c.id != best.id);
     let others = others.map(|c| EngineCandidate {
         target: c.id.clone(),
-        extra_ms: (c.cost_ms(again_ms) - best.cost_ms(again_ms)).max(0.0) as u64,
+        extra_ms: (c.cost_ms(retry_cost_ms) - best.cost_ms(retry_cost_ms)).max(0.0) as u64,
     });
     let first = EngineCandidate {
         target: best.id.clone(),
         extra_ms: 0,
     };
     std::iter::once(first)
-        .chain(others.take(MOST_PICKS - 1))
+        .chain(others.take(MAX_CANDIDATES - 1))
         .collect()
 }
 
-/// The least version of `adapter` that may still serve.
-fn least_version(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
-    let grace = node.settings().bounds.version_ms / GRACE_PART;
+/// The minimum version of `adapter` that may still serve.
+fn min_version_of(node: &Node, view: &View, adapter: &AdapterRef, now: u64) -> u64 {
+    let grace = node.settings().bounds.version_ms / VERSION_GRACE_DIVISOR;
     let named = view.named_versions.get(adapter);
     let due = named.filter(|n| now.saturating_sub(n.learned_ms) >= grace);
     due.map_or(0, |n| n.version)
 }
 
-/// Prompt tokens that `target` has not read yet.
-pub(crate) fn unread(view: &View, need: &Need, target: &Name) -> u64 {
-    let Some(adapter) = &need.adapter else {
+/// Prompt tokens that `target` has not cached.
+pub(crate) fn unread_tokens(view: &View, requirements: &Requirements, target: &Name) -> u64 {
+    let Some(adapter) = &requirements.adapter else {
         return 0;
     };
-    let kept = view.prefixes.cached_tokens(adapter, &need.parts, target);
-    need.prompt().saturating_sub(kept).max(1)
+    let cached_tokens = view
+        .prefixes
+        .cached_tokens(adapter, &requirements.prompt_segments, target);
+    requirements.prompt().saturating_sub(cached_tokens).max(1)
 }
 
 /// What an engine must have for a request.
-struct Wanted<'a> {
+struct EngineNeeds<'a> {
     adapter: &'a AdapterRef,
     engine: &'a EngineConfig,
-    /// Least version that will do; 0 for any.
+    /// Minimum version of the adapter; 0 for any.
     version: u64,
 }
 
 /// Engines for a request.
-struct Options {
-    /// Those that it may choose from.
-    open: Vec<Candidate>,
-    /// All that lack its adapter and may load it.
+struct EngineChoices {
+    /// Engines to choose from.
+    eligible: Vec<Candidate>,
+    /// All engines that lack its adapter and may load it.
     loaders: Vec<Candidate>,
 }
 
 fn engine_choices(
     node: &Node,
     view: &View,
-    wish: &Wish<'_>,
-    wanted: Wanted<'_>,
+    criteria: &Criteria<'_>,
+    engine_needs: EngineNeeds<'_>,
     targets: &[Arc<Target>],
     unavailable: &UnavailableTargets,
     base: &impl Fn(&Target) -> Candidate,
-) -> Options {
-    let Wanted {
+) -> EngineChoices {
+    let EngineNeeds {
         adapter,
         engine,
         version,
-    } = wanted;
+    } = engine_needs;
     let now = node.now();
     let key = crate::fleet::adapter_key(adapter);
     let in_use = node.fleet.in_use(now);
     let used = node.fleet.reported_in_use(now);
     let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
-    let prices = prices(node, view, wish, engine, targets, &in_use);
+    let slot_price = slot_price(node, view, criteria, engine, targets, &in_use);
     let hot = policies.hot_near && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
-    let at_home = wish.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
+    let has_local_engines =
+        criteria.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
     let resident = |t: &Target| view.residency.held_version(adapter, &t.id);
     let holds = |t: &Target| resident(t).is_some_and(|v| v >= version);
     let holders = targets.iter().filter(|t| holds(t)).map(|t| &t.id);
-    let reader = match policies.shared_prompts {
-        true => selection::prefix_engine(&key, &wish.need.parts, holders),
+    let prefix_engine = match policies.shared_prompts {
+        true => selection::prefix_engine(&key, &criteria.requirements.prompt_segments, holders),
         false => None,
     };
     let mut loaders: Vec<(bool, u64, Candidate)> = Vec::new();
     let mut out = Vec::new();
     for t in targets.iter().filter(|t| t.has_model(&adapter.model)) {
         let mut choice = base(t);
-        let mut tokens = unread(view, wish.need, &t.id);
-        if reader == Some(&t.id) {
-            tokens = tokens.min(wish.need.own_tokens());
+        let mut tokens = unread_tokens(view, criteria.requirements, &t.id);
+        if prefix_engine == Some(&t.id) {
+            tokens = tokens.min(criteria.requirements.own_tokens());
         }
         choice.wait_ms = view.board.prefill_ms(&t.id, tokens, now);
-        if let Some(prices) = prices {
+        if let Some(slot_price) = slot_price {
             let streams = view.board.total_work(&t.id, now).requests;
-            let reading = view.board.read_duration_ms(tokens as f64);
-            choice.interference_ms = prices.read_cost_ms(reading, streams);
+            let read_ms = view.board.read_duration_ms(tokens as f64);
+            choice.interference_ms = slot_price.read_cost_ms(read_ms, streams);
         }
-        let away = hot && at_home && wish.group.is_none() && t.failure_domain != domain;
-        if away {
-            choice.interference_ms += AWAY_MS;
+        let in_other_domain =
+            hot && has_local_engines && criteria.group.is_none() && t.failure_domain != domain;
+        if in_other_domain {
+            choice.interference_ms += REMOTE_DOMAIN_COST_MS;
         }
         let resident = resident(t);
         let held = adapter.adapter.is_none() || resident.is_some_and(|v| v >= version);
         if held {
             if resident.is_some_and(|v| v < named) {
-                choice.wait_ms += OUTDATED_MS;
+                choice.wait_ms += OUTDATED_COST_MS;
             }
             out.push(choice);
             continue;
@@ -321,65 +334,73 @@
         if resident.is_some() && in_use.get(&t.id).is_some_and(|u| u.contains(adapter)) {
             continue;
         }
-        if away || unavailable.blocks_loads(&t.id) {
+        if in_other_domain || unavailable.blocks_loads(&t.id) {
             continue;
         }
         let held_lease = node.token(&t.failure_domain).is_some();
         if !held_lease && node.fleet.holder(&t.failure_domain, now).is_none() {
             continue;
         }
-        let recent = view.residency.likely_cached(adapter, &t.id, now);
-        choice.load_ms = node.controllers.expected_load_ms(recent);
-        // A copy of a hot adapter serves many, not one request.
-        choice.from_store = !recent && !hot && policies.spare_store;
+        let cached = view.residency.likely_cached(adapter, &t.id, now);
+        choice.load_ms = node.controllers.expected_load_ms(cached);
+        // A copy of a hot adapter serves many requests, not one.
+        choice.from_store = !cached && !hot && policies.spare_store;
         choice.evicts = policies.spare_places
             && !hot
             && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
-        let told = used.get(&t.id).copied().unwrap_or(0);
-        let full = known.max(told) >= engine.adapter_slots;
+        let reported = used.get(&t.id).copied().unwrap_or(0);
+        let full = known.max(reported) >= engine.adapter_slots;
         if full {
-            choice.load_ms += FULL_MS;
+            choice.load_ms += FULL_ENGINE_WAIT_MS;
         }
-        // What was held lately is loaded fastest, whatever its rank; a home
-        // without a free place comes after those with one.
-        let rank = if recent {
+        // An engine that has the adapter cached loads it fastest, whatever its
+        // rank; a home without a free slot comes after those with one.
+        let rank = if cached {
             0
         } else {
             selection::rendezvous_rank(&key, &t.id)
         };
-        loaders.push((full && !recent, rank, choice));
+        loaders.push((full && !cached, rank, choice));
     }
     loaders.sort_by_key(|(full, rank, _)| (*full, *rank));
-    let homes = if wish.only_tried {
+    let homes = if criteria.only_tried {
         loaders.len()
     } else {
-        out.len().max(NEW_HOMES)
+        out.len().max(MIN_NEW_HOMES)
     };
     let loaders: Vec<Candidate> = loaders.into_iter().map(|(_, _, c)| c).collect();
     out.extend(loaders.iter().take(homes).cloned());
-    Options { open: out, loaders }
+    EngineChoices {
+        eligible: out,
+        loaders,
+    }
 }
 
-/// The price of place-time where this daemon knows all runs.
-fn prices(
+/// The price of slot time, if this daemon knows all runs.
+fn slot_price(
     node: &Node,
     view: &View,
-    wish: &Wish<'_>,
+    criteria: &Criteria<'_>,
     engine: &EngineConfig,
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
 ) -> Option<SlotTimePrice> {
-    wish.group.filter(|_| node.policies().place_time)?;
+    criteria.group.filter(|_| node.policies().place_time)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
     let used: usize = used.sum();
-    let all = engine.adapter_slots * targets.len() as u32;
-    Some(SlotTimePrice::new(used as u32, all, view.hold, wish.aim_ms))
+    let total_slots = engine.adapter_slots * targets.len() as u32;
+    Some(SlotTimePrice::new(
+        used as u32,
+        total_slots,
+        view.hold,
+        criteria.objective_ms,
+    ))
 }
 
-/// Whether a stalled send may be abandoned for another.
+/// Whether a hung send may be abandoned for another.
 pub(crate) fn repeatable(route: &Route) -> bool {
     route.repeatable() && route.max_attempts > 1 && route.kind != RouteKind::NonIdempotent
 }
--- a/crates/comfreyhall-node/src/outbound/limits.rs
+++ b/crates/comfreyhall-node/src/outbound/limits.rs
@@ -1,9 +1,10 @@
-//! Limits that targets name, known to all daemons and kept by them together.
+//! Rate limits that targets announce, shared and enforced by all daemons
+//! together.
 //!
-//! The holder of a group's lease grants what the group's targets take
-//! ([`GrantingLimiter`](comfreyhall_workspace::Granting)): it binds the runs there as
-//! well, and there is one of it. It hears of a limit from its own answers or
-//! from those who ask it, and tells all others with its news.
+//! The holder of a group's lease grants the capacity of the group's targets
+//! ([`GrantingLimiter`](comfreyhall_workspace::GrantingLimiter)): it also binds the runs
+//! there, and there is only one holder. It learns of a limit from its own
+//! responses or from the daemons that ask it, and spreads it by gossip.
 
 use std::sync::Arc;
 
@@ -12,39 +13,40 @@
 use comfreyhall_protocol::TargetWord;
 use comfreyhall_workspace::{PlacedQuota, coordinator_group};
 
-use super::{log, shut::unavailable};
+use super::{availability::unavailable, log};
 use crate::{
     node::Node,
     quotas::{self, Credit, QuotaError, QuotaKind},
 };
 
-/// How long others are told that a target leaves, in ms: news reaches everybody
-/// within some seconds, and a thousand targets may leave within minutes.
-const TELL_MS: u64 = 10_000;
+/// How long the draining of a target is gossiped, in ms: gossip reaches every
+/// daemon within some seconds, and a thousand targets may drain within minutes.
+const DRAINING_GOSSIP_MS: u64 = 10_000;
 
-/// The limits in force, and which group's home keeps each.
+/// The active limits, and the group whose coordinator enforces each.
 pub(crate) fn limits(node: &Node, now: u64) -> Map<Name, PlacedQuota> {
-    let gates = node.outbound.gates();
-    if gates.is_empty() {
+    let signals = node.outbound.signals();
+    if signals.is_empty() {
         return Map::default();
     }
-    let limited: Vec<(Name, Rate)> = gates.limits(now).map(|(t, r)| (t.clone(), r)).collect();
-    drop(gates);
+    let limited: Vec<(Name, Rate)> = signals.limits(now).map(|(t, r)| (t.clone(), r)).collect();
+    drop(signals);
     let groups = quotas::groups(node);
-    let kept = limited.into_iter().filter_map(|(target, rate)| {
+    let quotas = limited.into_iter().filter_map(|(target, rate)| {
         let group = group_of(node, &target, &groups)?;
-        let cap = Quota {
+        let quota = Quota {
             unit: QuotaUnit::Requests,
             rate: rate.per_s(),
             burst: 0.0,
         };
-        Some((target, PlacedQuota { quota: cap, group }))
+        Some((target, PlacedQuota { quota, group }))
     });
-    kept.collect()
+    quotas.collect()
 }
 
-/// The group that keeps the limit of `target`: that of its failure domain, whose
-/// holder binds runs to it, or any that all daemons agree on.
+/// The group that enforces the limit of `target`: that of its failure domain,
+/// whose lease holder binds runs to it, or otherwise one that all daemons agree
+/// on.
 fn group_of(node: &Node, target: &Name, groups: &[Name]) -> Option<Name> {
     let known = node.view().targets.get(target).cloned();
     let domain = known.and_then(|t| groups.iter().find(|g| **g == t.failure_domain));
@@ -60,7 +62,7 @@
 ) -> Result<Option<Credit>, QuotaError> {
     if node
         .outbound
-        .gates()
+        .signals()
         .limit(&target.id, node.now())
         .is_none()
     {
@@ -70,20 +72,20 @@
     credit.map(Some)
 }
 
-/// Takes a part of the limit of `target` for a run that is bound here; whether
-/// the target is limited, or `None` if it takes nothing now.
+/// Takes a part of the limit of `target` for a run that is bound here. Returns
+/// whether the target is limited, or `None` if it takes nothing now.
 pub(crate) fn grant(node: &Node, target: &Name) -> Option<bool> {
     let now = node.now();
     if unavailable(node, target).is_some() {
         return None;
     }
-    match node.outbound.gates().limit(target, now) {
+    match node.outbound.signals().limit(target, now) {
         None => Some(false),
         Some(_) => node.target_limits.take_local(target, now).then_some(true),
     }
 }
 
-/// Tells the home of `target` what it said here.
+/// Reports what `target` announced here to its coordinator.
 pub(super) fn announce(node: &Arc<Node>, target: &Name) {
     let groups = quotas::groups(node);
     if let Some(group) = group_of(node, target, &groups) {
@@ -91,18 +93,18 @@
     }
 }
 
-fn to_wire(target: &Name, word: LimitReport, now: u64) -> TargetWord {
+fn to_wire(target: &Name, notice: LimitReport, now: u64) -> TargetWord {
     TargetWord {
         target: target.to_string(),
-        limit: word.limit.map_or(0.0, Rate::per_s),
-        age_ms: now.saturating_sub(word.received_ms),
+        limit: notice.limit.map_or(0.0, Rate::per_s),
+        age_ms: now.saturating_sub(notice.received_ms),
         leaving: false,
     }
 }
 
-/// What targets of `group` told this daemon itself.
+/// What targets of `group` announced to this daemon itself.
 pub(crate) fn own_notices(node: &Node, group: &str) -> Vec<TargetWord> {
-    select(node, |word, of| word.direct && of == group)
+    select(node, |notice, of| notice.direct && of == group)
 }
 
 /// What is known of targets of `group`.
@@ -110,9 +112,9 @@
     select(node, |_, of| of == group)
 }
 
-/// What a holder tells everybody of the targets of its groups.
+/// What a lease holder gossips about the targets of its groups.
 pub(crate) fn holder_notices(node: &Node) -> Vec<TargetWord> {
-    if node.outbound.gates().is_empty() {
+    if node.outbound.signals().is_empty() {
         return Vec::new();
     }
     let held = node.leases.held(node.settings().bounds.fencing);
@@ -122,67 +124,69 @@
 fn select(node: &Node, wanted: impl Fn(&LimitReport, &str) -> bool) -> Vec<TargetWord> {
     let now = node.now();
     let known: Vec<(Name, LimitReport)> = {
-        let gates = node.outbound.gates();
-        gates
+        let signals = node.outbound.signals();
+        signals
             .limit_reports(now)
             .map(|(t, w)| (t.clone(), w))
             .collect()
     };
-    let leaving = just_leaving(node, now);
-    if known.is_empty() && leaving.is_empty() {
+    let draining = recently_draining(node, now);
+    if known.is_empty() && draining.is_empty() {
         return Vec::new();
     }
     let groups = quotas::groups(node);
-    let told = known.iter().filter(|(target, word)| {
-        group_of(node, target, &groups).is_some_and(|group| wanted(word, &group))
+    let selected = known.iter().filter(|(target, notice)| {
+        group_of(node, target, &groups).is_some_and(|group| wanted(notice, &group))
     });
-    let told = told.map(|(target, word)| to_wire(target, *word, now));
-    told.chain(leaving).collect()
+    let selected = selected.map(|(target, notice)| to_wire(target, *notice, now));
+    selected.chain(draining).collect()
 }
 
-/// Targets that are known to leave for a short while. It is final: everybody may
-/// tell it of everybody.
-fn just_leaving(node: &Node, now: u64) -> Vec<TargetWord> {
-    let gates = node.outbound.gates();
-    let new = gates.draining(now).filter(|(_, age)| *age < TELL_MS);
-    let words = new.map(|(target, age_ms)| TargetWord {
+/// Targets that have been known to drain for a short while only. Draining is
+/// final, so any daemon may report it of any target.
+fn recently_draining(node: &Node, now: u64) -> Vec<TargetWord> {
+    let signals = node.outbound.signals();
+    let new = signals
+        .draining(now)
+        .filter(|(_, age)| *age < DRAINING_GOSSIP_MS);
+    let notices = new.map(|(target, age_ms)| TargetWord {
         target: target.to_string(),
         age_ms,
         leaving: true,
         ..TargetWord::default()
     });
-    words.collect()
+    notices.collect()
 }
 
-/// Takes in what `from` was told by targets.
-pub(crate) fn merge_notices(node: &Node, words: &[TargetWord], from: &str) {
+/// Merges what targets announced to `from`.
+pub(crate) fn merge_notices(node: &Node, notices: &[TargetWord], from: &str) {
     let now = node.now();
     let mut changed = false;
-    for told in words {
-        let target: Name = told.target.as_str().into();
-        if told.leaving {
+    for notice in notices {
+        let target: Name = notice.target.as_str().into();
+        if notice.leaving {
             let change = node
                 .outbound
-                .gates()
-                .record_reported_drain(&target, told.age_ms, now);
+                .signals()
+                .record_reported_drain(&target, notice.age_ms, now);
             if let Some(change) = change {
-                log::changed(node, &target, change, from, told.age_ms);
+                log::log_change(node, &target, change, from, notice.age_ms);
             }
             continue;
         }
-        let word = LimitReport {
-            limit: (told.limit > 0.0)
-                .then(|| Rate::from_per_s(told.limit))
+        let limit_report = LimitReport {
+            limit: (notice.limit > 0.0)
+                .then(|| Rate::from_per_s(notice.limit))
                 .flatten(),
-            received_ms: now.saturating_sub(told.age_ms),
+            received_ms: now.saturating_sub(notice.age_ms),
             direct: false,
         };
         let change = node
             .outbound
-            .gates()
-            .record_reported_limit(&target, word, now);
+            .signals()
+            .record_reported_limit(&target, limit_report, now);
         if let Some(change) = change {
-            log::changed(node, &target, change, from, told.age_ms);
+            log::log_change(node, &target, change, from, notice.age_ms);
             changed = true;
         }
     }
--- a/crates/comfreyhall-node/src/outbound/mod.rs
+++ b/crates/comfreyhall-node/src/outbound/mod.rs
@@ -1,13 +1,13 @@
-//! Everything that goes to targets.
+//! All calls to targets.
 //!
-//! The one place that calls the [`Backend`](crate::ports::Backend): requests and
-//! their repeats, resumed streams, orders, reports and probes. What targets say
-//! of themselves is taken in here from the head of each answer, whatever its
-//! status and whoever still waits for it.
+//! The only module that calls the [`Backend`](crate::ports::Backend): requests
+//! and their retries, resumed streams, commands, reports and probes. It reads
+//! what targets announce about themselves from the head of each response,
+//! whatever its status and even if nobody waits for it any more.
 
+mod availability;
 mod limits;
 mod log;
-mod shut;
 
 use std::{
     borrow::Cow,
@@ -21,8 +21,10 @@
 use tokio::time::timeout;
 
 pub(crate) use self::{
+    availability::{
+        Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable,
+    },
     limits::{grant, holder_notices, limits, merge_notices, notices, own_notices},
-    shut::{Unavailable, UnavailableTargets, describe_unavailable, is_draining, unavailable},
 };
 use crate::{
     node::Node,
@@ -33,52 +35,53 @@
     quotas::{self, Credit, QuotaError, QuotaKind},
 };
 
-/// Part of a rest, as its divisor, by which it is lengthened at most.
-const REST_SPREAD: u64 = 8;
+/// Divisor of a cooldown that gives the maximum of its jitter.
+const COOLDOWN_JITTER_DIVISOR: u64 = 8;
 
-/// What this daemon knows of what targets say.
+/// What this daemon knows of what targets announce.
 #[derive(Default)]
 pub(crate) struct Outbound {
-    gates: Mutex<TargetSignals>,
+    signals: Mutex<TargetSignals>,
 }
 
 impl Outbound {
-    fn gates(&self) -> MutexGuard<'_, TargetSignals> {
-        self.gates.lock().expect("no holder of this lock panics")
+    fn signals(&self) -> MutexGuard<'_, TargetSignals> {
+        self.signals.lock().expect("no holder of this lock panics")
     }
 }
 
-/// The same with a rest that is somewhat longer. Daemons that were told together
-/// would come back together, and give the target no rest after its rest.
-fn spread(notice: &Notice) -> Cow<'_, Notice> {
-    let Some(rest_ms) = notice.cooldown_ms else {
+/// Lengthens a cooldown by a random part. Daemons that were notified together
+/// would otherwise return together, and overload the target right after its
+/// cooldown.
+fn add_jitter(notice: &Notice) -> Cow<'_, Notice> {
+    let Some(cooldown_ms) = notice.cooldown_ms else {
         return Cow::Borrowed(notice);
     };
-    let more = rand::rng().random_range(0..=rest_ms / REST_SPREAD);
+    let jitter_ms = rand::rng().random_range(0..=cooldown_ms / COOLDOWN_JITTER_DIVISOR);
     Cow::Owned(Notice {
-        cooldown_ms: Some(rest_ms + more),
+        cooldown_ms: Some(cooldown_ms + jitter_ms),
         ..notice.clone()
     })
 }
 
-/// Takes in what `target` says in the answer to a request that was sent at `sent`,
-/// or to something else.
-fn hear(node: &Arc<Node>, target: &Target, notice: &Notice, sent: Option<u64>) {
+/// Records what `target` announces in a response; `sent` is when its request
+/// was sent, `None` if it was not a request.
+fn observe(node: &Arc<Node>, target: &Target, notice: &Notice, sent_ms: Option<u64>) {
     let now = node.now();
-    log::odd(node, target, notice, now);
-    let notice = spread(notice);
+    log::log_problems(node, target, notice, now);
+    let notice = add_jitter(notice);
     let changes = node
         .outbound
-        .gates()
-        .record_notice(&target.id, &notice, sent, now);
-    // Most answers say nothing new.
+        .signals()
+        .record_notice(&target.id, &notice, sent_ms, now);
+    // Most responses announce nothing new.
     if changes.is_empty() {
         return;
     }
     let by = node.settings().id.clone();
     for change in changes {
-        let age = sent.map_or(0, |s| now - s);
-        log::changed(node, &target.id, change, &by, age);
+        let age = sent_ms.map_or(0, |s| now - s);
+        log::log_change(node, &target.id, change, &by, age);
         if matches!(change, Change::Limited { .. } | Change::Unlimited { .. }) {
             quotas::refresh(node, QuotaKind::Targets);
             limits::announce(node, &target.id);
@@ -86,40 +89,41 @@
     }
 }
 
-/// Forgets what targets said that counts no more.
+/// Drops announcements that have expired.
 pub(crate) fn sweep(node: &Node) {
     let now = node.now();
-    let ended = node.outbound.gates().expire(now);
+    let ended = node.outbound.signals().expire(now);
     for (target, change) in ended {
-        log::changed(node, &target, change, "time", 0);
+        log::log_change(node, &target, change, "time", 0);
     }
 }
 
-/// That a request may be sent to one target now. Every send wants one, taken
-/// after whatever the request had to wait for.
+/// Permission to send a request to one target now. Every send needs one, taken
+/// after all waits of the request.
 pub(crate) struct Permit {
-    /// The part of the target's limit that it takes; given back if it is dropped.
+    /// The part of the target's limit that the send takes; returned if this is
+    /// dropped.
     credit: Option<Credit>,
 }
 
 impl Permit {
-    /// Nothing reached the target after all.
-    fn give_back(self) {
+    /// Returns the credit, since nothing reached the target.
+    fn refund(self) {
         if let Some(credit) = self.credit {
             credit.refund();
         }
     }
 }
 
-/// Whether a request may be sent to `target` now; `granted`: the holder of its
-/// group has granted it a part of the target's limit.
+/// Asks for permission to send a request to `target` now; `granted`: the holder
+/// of its group's lease has already granted it a part of the target's limit.
 pub(crate) async fn permit(
     node: &Arc<Node>,
     target: &Target,
     granted: bool,
 ) -> Result<Permit, Unavailable> {
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(closed);
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(blocked);
     }
     if granted {
         let credit = Some(Credit::granted(node, &target.id));
@@ -133,37 +137,38 @@
     Ok(Permit { credit })
 }
 
-/// Sends a request; an answer that stays away for `patience` is a doubt.
+/// Sends a request; without an answer within `patience` its outcome is
+/// indeterminate.
 pub(crate) async fn send(
     node: &Arc<Node>,
     target: &Arc<Target>,
     mut permit: Permit,
-    ask: Arc<ClientRequest>,
+    request: Arc<ClientRequest>,
     options: SendOptions,
     patience: Duration,
 ) -> Result<Response, SendError> {
-    // It may have said so since the permit was taken.
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(SendError::NotSent(closed.why.into()));
+    // The target may have announced it since the permit was taken.
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(SendError::NotSent(blocked.why.into()));
     }
-    // From here on it may arrive, also if nobody waits for it any more.
+    // From here on the request may arrive, even if nobody waits for it any more.
     if let Some(credit) = &mut permit.credit {
         credit.mark_sent();
     }
-    let sent = node.now();
-    let call = node.backend.send(target.clone(), ask, options);
+    let sent_ms = node.now();
+    let call = node.backend.send(target.clone(), request, options);
     let answer = timeout(patience, call).await;
     let answer =
         answer.unwrap_or_else(|_| Err(SendError::Indeterminate("no answer in time".into())));
     match &answer {
-        Ok(response) => hear(node, target, &response.notice, Some(sent)),
-        Err(SendError::NotSent(_)) => permit.give_back(),
+        Ok(response) => observe(node, target, &response.notice, Some(sent_ms)),
+        Err(SendError::NotSent(_)) => permit.refund(),
         Err(_) => {}
     }
     answer
 }
 
-/// Gives an order; waits for the answer for `patience`.
+/// Sends a command to an engine; waits for the reply for `patience`.
 pub(crate) async fn command(
     node: &Arc<Node>,
     target: &Arc<Target>,
@@ -175,7 +180,7 @@
     }
     let call = node.backend.command(target.clone(), command);
     match timeout(patience, call).await {
-        Ok(heard) => take(node, target, heard),
+        Ok(reply) => observe_reply(node, target, reply),
         Err(_) => CommandReply::Silent("no answer in time".into()),
     }
 }
@@ -186,27 +191,27 @@
     target: &Arc<Target>,
     patience: Duration,
 ) -> Result<Report, ReportError> {
-    if let Some(closed) = unavailable(node, &target.id) {
-        return Err(ReportError::NoAnswer(closed.why.into()));
+    if let Some(blocked) = unavailable(node, &target.id) {
+        return Err(ReportError::NoAnswer(blocked.why.into()));
     }
     let call = node.backend.report(target.clone());
     match timeout(patience, call).await {
-        Ok(heard) => take(node, target, heard),
+        Ok(reply) => observe_reply(node, target, reply),
         Err(_) => Err(ReportError::NoAnswer("no answer in time".into())),
     }
 }
 
-/// Looks whether `target` is there; not while it rests, but one that leaves is
-/// looked at to see whether it has ended.
+/// Checks whether `target` is alive. A target in cooldown is not probed; a
+/// draining one is, to see whether it has ended.
 pub(crate) async fn probe(node: &Arc<Node>, target: &Arc<Target>) -> ProbeResult {
-    if node.outbound.gates().cooldown_ms(&target.id, node.now()) > 0 {
+    if node.outbound.signals().cooldown_ms(&target.id, node.now()) > 0 {
         return ProbeResult::NoAnswer;
     }
-    let heard = node.backend.probe(target.clone()).await;
-    take(node, target, heard)
+    let reply = node.backend.probe(target.clone()).await;
+    observe_reply(node, target, reply)
 }
 
-fn take<T>(node: &Arc<Node>, target: &Target, heard: TargetReply<T>) -> T {
-    hear(node, target, &heard.notice, None);
-    heard.answer
+fn observe_reply<T>(node: &Arc<Node>, target: &Target, reply: TargetReply<T>) -> T {
+    observe(node, target, &reply.notice, None);
+    reply.answer
 }
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -1,128 +1,135 @@
-//! Having an engine found for a request before it is sent.
+//! Binding a request to an engine before it is sent.
 
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name};
 use comfreyhall_routing::Presence;
 
-use super::{Job, LOOK_MS, send::UNREACHED_MS};
+use super::{ActiveRequest, RECHECK_MS, send::UNREACHABLE_MS};
 use crate::{
-    bind::{self, Bind, Bound, Unbound},
+    active_send::RunHandle,
+    bind::{self, BindError, BindParams, Binding},
     choose::Plan,
     fleet::adapter_key,
-    flight::Seat,
 };
 
-/// What came of looking for an engine.
-pub(super) enum Found {
+/// Result of binding a request.
+pub(super) enum BindOutcome {
     /// The plan has an engine that can take the request.
     Engine,
-    /// None in that group can now; others may.
+    /// No engine of that group can take it now; other groups may.
     None,
     /// Its wait there would be too long, in ms.
     TooLong(u64),
 }
 
-impl Job {
+impl ActiveRequest {
     /// Whether the target still takes work.
     ///
-    /// What goes wrong without it: a request waits seconds for its adapter,
-    /// its target says meanwhile that it leaves, and gets the request long
-    /// after the bound for new work at leaving targets.
-    pub(super) fn still_ready(&self, plan: &Plan) -> bool {
+    /// Checked right before the send: a request may wait seconds for its adapter,
+    /// and its target may start draining meanwhile; the request would arrive
+    /// after the bound for new work at draining targets.
+    pub(super) fn target_still_accepts(&self, plan: &Plan) -> bool {
         let now = self.node.now();
         let view = self.node.view();
         let known = view.targets.get(&plan.target.id);
         known.is_some_and(|t| view.accepts(t, &self.service, now))
     }
 
-    /// Has the holder of the planned group choose the engine, which becomes
-    /// the plan's target.
-    pub(super) async fn bind(&mut self, plan: &mut Plan) -> Found {
-        let Some(adapter) = self.ask.adapter.clone().filter(|_| self.engine.is_some()) else {
-            return Found::Engine;
+    /// Lets the lease holder of the planned group choose the engine, which
+    /// becomes the plan's target.
+    pub(super) async fn bind(&mut self, plan: &mut Plan) -> BindOutcome {
+        let Some(adapter) = self
+            .client_request
+            .adapter
+            .clone()
+            .filter(|_| self.engine.is_some())
+        else {
+            return BindOutcome::Engine;
         };
-        if !self.node.policies().binding && !plan.loads {
-            return Found::Engine;
+        if !self.node.policies().binding && !plan.needs_load {
+            return BindOutcome::Engine;
         }
         let began = self.node.now();
         let run = self.node.fleet.next_run_id();
-        let mut found = bind::bind(&self.node, self.wanted(plan, run, plan.loads)).await;
-        if found == Err(Unbound::MustWait) {
-            found = bind::bind(&self.node, self.wanted(plan, run, true)).await;
+        let mut result = bind::bind(&self.node, self.bind_params(plan, run, plan.needs_load)).await;
+        if result == Err(BindError::LoadRequired) {
+            result = bind::bind(&self.node, self.bind_params(plan, run, true)).await;
         }
-        let stall = self.node.now() - began;
-        if plan.loads {
-            self.stall += stall;
-            self.node.metrics.load_stall(stall);
+        let wait_ms = self.node.now() - began;
+        if plan.needs_load {
+            self.load_wait_ms += wait_ms;
+            self.node.metrics.load_stall(wait_ms);
         }
-        match found {
-            Ok(bound) => self.bound(plan, &adapter, run, bound, stall),
-            // The holder is left out now; what needs no load needs no holder.
-            Err(Unbound::Unanswered) if !plan.loads => Found::Engine,
-            Err(Unbound::TooLong(ms)) => {
-                self.close_group(&plan.target.failure_domain);
-                Found::TooLong(ms)
+        match result {
+            Ok(binding) => self.apply_binding(plan, &adapter, run, binding, wait_ms),
+            // The holder is skipped from now on; a send that needs no load can do
+            // without it.
+            Err(BindError::NoAnswer) if !plan.needs_load => BindOutcome::Engine,
+            Err(BindError::TooLong(ms)) => {
+                self.exclude_group(&plan.target.failure_domain);
+                BindOutcome::TooLong(ms)
             }
             Err(why) => {
-                self.unplaced(plan, &adapter, why).await;
-                Found::None
+                self.handle_unplaced(plan, &adapter, why).await;
+                BindOutcome::None
             }
         }
     }
 
-    fn wanted(&self, plan: &Plan, run: u64, may_wait: bool) -> Bind {
-        Bind {
+    fn bind_params(&self, plan: &Plan, run: u64, may_wait: bool) -> BindParams {
+        BindParams {
             run,
             group: plan.target.failure_domain.clone(),
             service: self.service.clone(),
-            need: self.need.clone(),
-            version: plan.version,
+            requirements: self.requirements.clone(),
+            min_version: plan.min_version,
             priority: self.rank,
-            aim_ms: self.route.objective_ms,
-            spent_ms: self.node.now() - self.began,
-            left_ms: self.left(),
+            objective_ms: self.route.objective_ms,
+            elapsed_ms: self.node.now() - self.began_ms,
+            remaining_ms: self.remaining_ms(),
             tried: self.tried.clone(),
-            closed: self.closed.clone(),
+            unavailable: self.unavailable.clone(),
             only_tried: self.only_tried(),
             may_wait,
         }
     }
 
-    /// Goes on at the engine that the holder chose, if it is known here.
-    fn bound(
+    /// Continues with the engine that the holder chose, if it is known here.
+    fn apply_binding(
         &self,
         plan: &mut Plan,
         adapter: &AdapterRef,
         run: u64,
-        bound: Bound,
+        binding: Binding,
         ms: u64,
-    ) -> Found {
-        log::debug!(target: "serve", id:% = self.ask.id, target_id:% = bound.target, version = bound.version, wait = bound.wait_ms, ms; "engine found");
+    ) -> BindOutcome {
+        log::debug!(target: "serve", id:% = self.client_request.id, target_id:% = binding.target, version = binding.version, wait = binding.wait_ms, ms; "bound to an engine");
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Presence::Held(bound.version);
-            view.residency.record(adapter, &bound.target, standing, now);
+            let presence = Presence::Held(binding.version);
+            view.residency
+                .record(adapter, &binding.target, presence, now);
         }
-        if bound.hot {
+        if binding.hot {
             view.mark_hot(adapter, now);
         }
-        let Some(target) = view.targets.get(&bound.target).cloned() else {
-            log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
-            return Found::None;
+        let Some(target) = view.targets.get(&binding.target).cloned() else {
+            log::info!(target: "serve", id:% = self.client_request.id, target_id:% = binding.target; "the bound engine is not known here yet");
+            return BindOutcome::None;
         };
         drop(view);
-        plan.tokens = bound.unread;
-        plan.wait_ms = bound.wait_ms as f64;
-        plan.granted = bound.granted;
-        plan.seat = Some(Seat::new(&self.node, run, target.clone()));
+        plan.unread_tokens = binding.unread_tokens;
+        plan.wait_ms = binding.wait_ms as f64;
+        plan.granted = binding.granted;
+        plan.run_handle = Some(RunHandle::new(&self.node, run, target.clone()));
         plan.target = target;
-        Found::Engine
+        BindOutcome::Engine
     }
 
-    /// Takes no engine of `group` for this request.
-    fn close_group(&mut self, group: &str) {
+    /// Excludes all engines of `group` for this request.
+    fn exclude_group(&mut self, group: &str) {
         let view = self.node.view();
         let engines = view
             .targets
@@ -130,23 +137,23 @@
             .filter(|t| *t.failure_domain == *group);
         let engines: Vec<Name> = engines.map(|t| t.id.clone()).collect();
         drop(view);
-        self.closed.extend(engines);
+        self.unavailable.extend(engines);
     }
 
-    async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
-        self.close_group(&plan.target.failure_domain);
-        if let Unbound::Unplaced { gone, .. } = why {
-            let until = self.node.now() + UNREACHED_MS;
+    async fn handle_unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: BindError) {
+        log::info!(target: "serve", id:% = self.client_request.id, group:% = plan.target.failure_domain, adapter:% = adapter_key(adapter), why:%; "not bound to an engine");
+        self.exclude_group(&plan.target.failure_domain);
+        if let BindError::NoEngine { gone, .. } = why {
+            let until_ms = self.node.now() + UNREACHABLE_MS;
             for target in gone {
-                // Every other request would ask for a place there too.
-                self.node.view().unavailable_until.insert(target, until);
+                // Keeps other requests from asking for a slot there too.
+                self.node.view().unavailable_until.insert(target, until_ms);
             }
         }
-        // All were closed: begin again rather than give up early.
+        // All targets are excluded: start over instead of failing early.
         if self.choose().is_none() {
-            self.closed.clear();
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            self.unavailable.clear();
+            tokio::time::sleep(Duration::from_millis(RECHECK_MS)).await;
         }
     }
 }
--- a/crates/comfreyhall-node/src/tests.rs
+++ b/crates/comfreyhall-node/src/tests.rs
@@ -3,63 +3,70 @@
 use comfreyhall_domain::AdapterRef;
 
 use crate::{
-    events::Events,
+    events::EventSplitter,
     leases::{HeldLease, Leases},
     node::View,
 };
 
 #[test]
-fn next_whole_events_only() {
-    let mut e = Events::default();
-    e.push(b"id: 1\ndata: a\n\nid: 2\nda");
-    assert_eq!(e.next().unwrap().id, Some(1));
-    assert!(e.next().is_none());
-    assert!(e.partial());
-    e.push(b"ta: b\n");
-    assert!(e.next().is_none());
-    e.push(b"\n");
-    let event = e.next().unwrap();
+fn next_returns_whole_events_only() {
+    let mut events = EventSplitter::default();
+    events.push(b"id: 1\ndata: a\n\nid: 2\nda");
+    assert_eq!(events.next().unwrap().id, Some(1));
+    assert!(events.next().is_none());
+    assert!(events.has_partial());
+    events.push(b"ta: b\n");
+    assert!(events.next().is_none());
+    events.push(b"\n");
+    let event = events.next().unwrap();
     assert_eq!(event.id, Some(2));
     assert_eq!(&event.bytes[..], b"id: 2\ndata: b\n\n");
-    assert!(!e.partial());
+    assert!(!events.has_partial());
 }
 
 /// A lease as the store last showed it.
-struct Shown {
+struct StoredLease {
     token: Option<u64>,
-    lapsed: Option<u64>,
+    expired_token: Option<u64>,
 }
 
-impl HeldLease for Shown {
+impl HeldLease for StoredLease {
     fn token(&self, _: Instant) -> Option<u64> {
         self.token
     }
 
     fn expired_token(&self) -> Option<u64> {
-        self.lapsed
+        self.expired_token
     }
 }
 
-fn leases(token: Option<u64>, lapsed: Option<u64>) -> Leases {
+fn leases(token: Option<u64>, expired_token: Option<u64>) -> Leases {
     let leases = Leases::default();
-    leases.add(&"g".into(), Arc::new(Shown { token, lapsed }));
+    leases.add(
+        &"g".into(),
+        Arc::new(StoredLease {
+            token,
+            expired_token,
+        }),
+    );
     leases
 }
 
-/// Symptom: every load stopped three seconds into an outage of the store.
-/// Events: the lease lapses, nobody can take it. Cause: its holder stopped
-/// although engines would refuse it the moment another one took over.
+/// Guards against loads that stop three seconds into an outage of the store:
+/// the lease expires and nobody can take it, but its holder may continue, since
+/// engines refuse its commands as soon as another holder takes over.
 #[test]
-fn token_lapsed_only_where_engines_check() {
+fn token_expired_lease_needs_fencing() {
     let leases = leases(None, Some(2));
     assert!(leases.token("g", true).is_some());
     assert!(leases.token("g", false).is_none());
 }
 
-/// Symptom: an engine took orders from two holders in turn. Events: a holder
-/// hears of a higher token and goes on. Cause: it believed its own lease.
+/// Guards against an engine that takes commands from two holders in turn: a
+/// holder that learns of a higher fencing token must stop, even if its own
+/// lease looks valid.
 #[test]
-fn token_beaten_stops() {
+fn token_of_superseded_holder_is_none() {
     let holder = leases(Some(2), Some(2));
     let token = holder.token("g", true).unwrap();
     holder.observe_token("g", token + 1);
@@ -69,11 +76,11 @@
     assert!(next.token("g", true).unwrap() > token + 1);
 }
 
-/// Symptom: loads of a domain stood still for nine seconds. Events: the store
-/// is away, the holder of the domain's lease is stopped as planned. Cause: it
-/// could not give the lease back and named no successor.
+/// Guards against loads of a domain that stop for nine seconds when the holder
+/// of its lease stops as planned during an outage of the store: it cannot
+/// return the lease, so it has to name a successor.
 #[test]
-fn cede_successor_between_holders() {
+fn cede_token_lies_between_holders() {
     let old = leases(None, Some(2));
     let token = old.token("g", true).unwrap();
     let ceded = old.hand_over("g", true).unwrap();
@@ -88,18 +95,17 @@
     assert_eq!(leases(None, Some(2)).hand_over("g", false), None);
 }
 
-/// Symptom: callers of all five domains queued at the engines of one, while
-/// those of their own domains idled. Events: an adapter becomes hot; what the
-/// daemons know of the queues is a second old. Cause: its first engines drew
-/// all of its requests.
+/// Guards against callers of all five domains that queue at the engines of one
+/// domain while their own idle: a newly hot adapter has few engines, and
+/// daemons know the queues only as of a second ago.
 #[test]
-fn asked_often_is_hot_for_a_while() {
+fn count_bind_frequent_adapter_is_hot() {
     let mut view = View::default();
     let adapter = AdapterRef {
         model: "m".into(),
         adapter: Some("a".into()),
     };
-    // One in 200 ms is what one engine does beside others.
+    // One in 200 ms is what one engine handles beside others.
     let mut at = 1_000;
     for _ in 0..10 {
         at += 200;
@@ -117,7 +123,7 @@
 }
 
 #[test]
-fn asked_one_group_is_never_hot() {
+fn count_bind_one_group_is_never_hot() {
     let mut view = View::default();
     let hot = (0..500)
         .filter(|i| view.count_bind("m/a", 1, 1_000 + i * 2))
