--- a/crates/comfreyhall-routing/src/board.rs
+++ b/crates/comfreyhall-routing/src/board.rs
@@ -1,11 +1,11 @@
-//! What is on each target's table, and how long a request would wait there.
+//! Outstanding work at each target, and how long a request would wait there.
 //!
-//! Model engines read prompts in turn, so the wait for a first token follows
-//! from the backlog of prompt tokens ([`LatencyModel`]), while slots stay nearly
-//! empty; plain services run a few requests at once, so
-//! their wait is how many there are over the slots. Daemons tell each other
-//! what they have sent; the line and the time of a request are learned from
-//! the answers.
+//! Engines process prompts one after the other, so the wait for a first token
+//! follows from the backlog of prompt tokens ([`LatencyModel`]), while slots
+//! stay nearly empty. Plain services run a few requests at once, so their wait
+//! follows from the number of requests per slot. Daemons report to each other
+//! what they have sent; the latency model and the duration of a request are
+//! learned from the answers.
 
 use comfreyhall_domain::{Map, Name};
 
@@ -14,25 +14,25 @@
     speed::{LatencyModel, SpeedFactor},
 };
 
-/// Weight of one sample in the learned time of a plain request.
-const GAIN: f64 = 0.1;
+/// Weight of one sample in the moving average of a plain request's duration.
+const EWMA_WEIGHT: f64 = 0.1;
 
-/// Time of a request at a plain service before any is measured, in ms.
-const FIRST_TOOK: f64 = 60.0;
+/// Assumed duration of a request at a plain service before the first sample.
+const INITIAL_DURATION_MS: f64 = 60.0;
 
-/// What one daemon has at one target.
+/// Outstanding work of one daemon at one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens sent and not yet processed.
     pub prefill_tokens: u64,
-    /// Prompt tokens of requests that wait for a load there.
+    /// Prompt tokens of requests that wait there for an adapter load.
     pub waiting_tokens: u64,
-    /// Requests sent and not yet answered whole.
+    /// Requests sent and not yet answered completely.
     pub requests: u32,
 }
 
 impl Work {
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: Work) -> Work {
         Work {
             prefill_tokens: self.prefill_tokens + other.prefill_tokens,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// What is left of it without `other`.
-    fn less(self, other: Work) -> Work {
+    /// The difference, at least zero in each field.
+    fn minus(self, other: Work) -> Work {
         Work {
             prefill_tokens: self.prefill_tokens.saturating_sub(other.prefill_tokens),
             waiting_tokens: self.waiting_tokens.saturating_sub(other.waiting_tokens),
@@ -54,39 +54,43 @@
 #[derive(Debug, Default)]
 struct Entry {
     own: Work,
-    /// Work of each peer, and until when that holds.
+    /// Work of each peer, with its expiry time.
     peers: Map<Name, (Work, u64)>,
-    /// Work of all others as one peer sums it up, and until when that holds.
-    total: Option<(Work, u64)>,
+    /// Work of all other daemons as aggregated by one peer, with its expiry
+    /// time.
+    others: Option<(Work, u64)>,
     health: Health,
-    factor: SpeedFactor,
-    took: Option<f64>,
+    speed: SpeedFactor,
+    duration_ms: Option<f64>,
 }
 
 impl Entry {
-    /// Own work and that of peers heard from lately.
-    fn sum(&self, now: u64) -> Work {
-        let told = self.peers.values().filter(|(_, until)| now <= *until);
-        told.fold(self.own, |sum, (work, _)| sum.plus(*work))
+    /// Own work plus the unexpired reports of peers.
+    fn reported_sum(&self, now: u64) -> Work {
+        let reports = self
+            .peers
+            .values()
+            .filter(|(_, expires_at)| now <= *expires_at);
+        reports.fold(self.own, |sum, (work, _)| sum.plus(*work))
     }
 }
 
-/// The work and the health of every target.
+/// The outstanding work and the health of every target.
 #[derive(Debug)]
 pub struct TargetStats {
     entries: Map<Name, Entry>,
-    /// What engines have in common.
-    line: LatencyModel,
-    /// Time of a plain request at any target, in ms.
-    took: f64,
+    /// Latency model shared by all engines.
+    model: LatencyModel,
+    /// Average duration of a plain request at any target.
+    duration_ms: f64,
 }
 
 impl Default for TargetStats {
     fn default() -> Self {
         Self {
             entries: Map::default(),
-            line: LatencyModel::default(),
-            took: FIRST_TOOK,
+            model: LatencyModel::default(),
+            duration_ms: INITIAL_DURATION_MS,
         }
     }
 }
@@ -96,73 +100,77 @@
         self.entries.entry(target.clone()).or_default()
     }
 
-    /// Forgets targets for which `keep` is false.
+    /// Drops idle targets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         self.entries
             .retain(|id, e| keep(id) || e.own != Work::default());
     }
 
-    /// A request with `tokens` of prompt to read is sent.
+    /// Records that a request with `tokens` of prompt was sent.
     pub fn request_sent(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
         own.prefill_tokens += tokens;
         own.requests += 1;
     }
 
-    /// A request with `tokens` of prompt begins to wait for a load.
+    /// Records that a request with `tokens` of prompt starts to wait for a
+    /// load.
     pub fn load_wait_started(&mut self, target: &Name, tokens: u64) {
         self.entry(target).own.waiting_tokens += tokens;
     }
 
-    /// A request with `tokens` of prompt no longer waits for a load.
+    /// Records that a request with `tokens` of prompt no longer waits for a
+    /// load.
     pub fn load_wait_ended(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
         own.waiting_tokens = own.waiting_tokens.saturating_sub(tokens);
     }
 
-    /// The prompt of `tokens` was read, or no longer needs to be.
+    /// Records that a prompt of `tokens` was processed, or no longer has to be.
     pub fn prompt_read(&mut self, target: &Name, tokens: u64) {
         let own = &mut self.entry(target).own;
         own.prefill_tokens = own.prefill_tokens.saturating_sub(tokens);
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn request_ended(&mut self, target: &Name) {
         let own = &mut self.entry(target).own;
         own.requests = own.requests.saturating_sub(1);
     }
 
-    /// Learns from a first token after `waited` ms that had `tokens` of
-    /// prompt before it, its own included.
+    /// Updates the latency model with a first token that came after `waited`
+    /// ms, with `tokens` of prompt to process before it, its own included.
     pub fn record_first_token(&mut self, target: &Name, tokens: u64, waited: u64) {
         if tokens == 0 {
             return;
         }
         let (tokens, waited) = (tokens as f64, waited as f64);
-        let expected = self.line.predict_ms(tokens);
-        self.entry(target).factor.record(waited, expected);
-        self.line.record(tokens, waited);
+        let expected = self.model.predict_ms(tokens);
+        self.entry(target).speed.record(waited, expected);
+        self.model.record(tokens, waited);
     }
 
-    /// Learns how long a plain request takes.
-    pub fn record_duration(&mut self, target: &Name, took: u64) {
-        let took = took as f64;
-        self.took += GAIN * (took - self.took);
-        let own = &mut self.entry(target).took;
-        let before = own.unwrap_or(took);
-        *own = Some(before + GAIN * (took - before));
+    /// Updates the average duration of plain requests.
+    pub fn record_duration(&mut self, target: &Name, duration_ms: u64) {
+        let duration_ms = duration_ms as f64;
+        self.duration_ms += EWMA_WEIGHT * (duration_ms - self.duration_ms);
+        let own = &mut self.entry(target).duration_ms;
+        let before = own.unwrap_or(duration_ms);
+        *own = Some(before + EWMA_WEIGHT * (duration_ms - before));
     }
 
-    /// Takes in how an answer was; `weight`: how much it proves.
+    /// Records whether an answer was good; `weight` is how strong this evidence
+    /// is.
     pub fn record_outcome(&mut self, target: &Name, ok: bool, weight: f64, now: u64) {
         self.entry(target).health.record(ok, weight, now);
     }
 
-    /// Takes in what `peer` has, at all targets; it counts until `until`.
+    /// Replaces what `peer` has at all targets; it counts until `expires_at`.
     ///
-    /// A peer names only targets where it has work. Without dropping what it
-    /// named before, a request that has ended counts until then.
-    pub fn set_peer_work(&mut self, peer: &Name, works: &Map<Name, Work>, until: u64) {
+    /// A peer lists only targets where it has work. Its earlier entries are
+    /// dropped, since otherwise a request that has ended would count until it
+    /// expires.
+    pub fn set_peer_work(&mut self, peer: &Name, works: &Map<Name, Work>, expires_at: u64) {
         for (target, entry) in &mut self.entries {
             if !works.contains_key(target) {
                 entry.peers.remove(peer);
@@ -170,91 +178,94 @@
         }
         for (target, work) in works {
             let peers = &mut self.entry(target).peers;
-            peers.insert(peer.clone(), (*work, until));
+            peers.insert(peer.clone(), (*work, expires_at));
         }
     }
 
-    /// `peer` has `work` more at `target`, which counts until `until`.
-    pub fn add_peer_work(&mut self, peer: &Name, target: &Name, work: Work, until: u64) {
+    /// Adds `work` of `peer` at `target`, which counts until `expires_at`.
+    pub fn add_peer_work(&mut self, peer: &Name, target: &Name, work: Work, expires_at: u64) {
         let peers = &mut self.entry(target).peers;
-        let (known, end) = peers.entry(peer.clone()).or_default();
+        let (known, known_expiry) = peers.entry(peer.clone()).or_default();
         *known = known.plus(work);
-        *end = until.max(*end);
+        *known_expiry = expires_at.max(*known_expiry);
     }
 
-    /// `peer` has `work` less at `target`.
+    /// Subtracts `work` of `peer` at `target`.
     pub fn subtract_peer_work(&mut self, peer: &Name, target: &Name, work: Work) {
         if let Some((known, _)) = self.entry(target).peers.get_mut(peer) {
-            *known = known.less(work);
+            *known = known.minus(work);
         }
     }
 
-    /// Takes in what all others together have at `target`; until then it
-    /// counts in place of what single peers told.
-    pub fn set_others_work(&mut self, target: &Name, work: Work, until: u64) {
-        self.entry(target).total = Some((work, until));
+    /// Sets what all other daemons together have at `target`. Until
+    /// `expires_at` it replaces the reports of single peers.
+    pub fn set_others_work(&mut self, target: &Name, work: Work, expires_at: u64) {
+        self.entry(target).others = Some((work, expires_at));
     }
 
-    /// Work of this daemon, for its peers.
+    /// Outstanding work of this daemon, to be reported to peers.
     pub fn own_work(&self) -> impl Iterator<Item = (&Name, Work)> {
-        let busy = self
+        let with_work = self
             .entries
             .iter()
             .filter(|(_, e)| e.own != Work::default());
-        busy.map(|(id, e)| (id, e.own))
+        with_work.map(|(id, e)| (id, e.own))
     }
 
-    /// Work of all daemons at `target`.
+    /// Outstanding work of all daemons at `target`.
     pub fn total_work(&self, target: &Name, now: u64) -> Work {
         let Some(entry) = self.entries.get(target) else {
             return Work::default();
         };
-        match entry.total {
-            Some((total, until)) if now <= until => entry.own.plus(total),
-            _ => entry.sum(now),
+        match entry.others {
+            Some((others, expires_at)) if now <= expires_at => entry.own.plus(others),
+            _ => entry.reported_sum(now),
         }
     }
 
-    /// Work at `target` of all daemons, from their own word.
+    /// Work at `target` summed over the daemons' own reports.
     pub fn reported_work(&self, target: &Name, now: u64) -> Work {
         let entry = self.entries.get(target);
-        entry.map_or(Work::default(), |e| e.sum(now))
+        entry.map_or(Work::default(), |e| e.reported_sum(now))
     }
 
-    /// Work at `target` that `peer` told of lately.
+    /// Work at `target` by the last report of `peer`, if it has not expired.
     pub fn peer_work(&self, target: &Name, peer: &str, now: u64) -> Work {
-        let told = self.entries.get(target).and_then(|e| e.peers.get(peer));
-        told.filter(|(_, until)| now <= *until)
+        let reports = self.entries.get(target).and_then(|e| e.peers.get(peer));
+        reports
+            .filter(|(_, expires_at)| now <= *expires_at)
             .map_or(Work::default(), |(work, _)| *work)
     }
 
-    /// Share of good answers to expect of `target`.
+    /// Expected share of good answers of `target`.
     pub fn health(&self, target: &Name, now: u64) -> f64 {
         let entry = self.entries.get(target);
         entry.map_or(1.0, |e| e.health.success_rate(now))
     }
 
-    /// Ms until an engine would have read `tokens` more of prompt.
+    /// Estimated time until an engine has processed `tokens` more of prompt.
     pub fn prefill_ms(&self, target: &Name, tokens: u64, now: u64) -> f64 {
         let entry = self.entries.get(target);
-        let factor = entry.map_or(1.0, |e| e.factor.get());
+        let speed = entry.map_or(1.0, |e| e.speed.get());
         let work = self.total_work(target, now);
-        factor
+        speed
             * self
-                .line
+                .model
                 .predict_ms((work.prefill_tokens + work.waiting_tokens + tokens) as f64)
     }
 
-    /// Ms for which a prompt of `tokens` keeps an engine reading.
+    /// Time for which an engine is busy with a prompt of `tokens`.
     pub fn read_duration_ms(&self, tokens: f64) -> f64 {
-        self.line.predict_ms(tokens) - self.line.predict_ms(0.0)
+        self.model.predict_ms(tokens) - self.model.predict_ms(0.0)
     }
 
-    /// Ms until a plain request would be answered by a target of `slots`.
+    /// Estimated time until a target with `slots` answers a plain request.
     pub fn plain_ms(&self, target: &Name, slots: u32, now: u64) -> f64 {
         let entry = self.entries.get(target);
-        let took = entry.and_then(|e| e.took).unwrap_or(self.took);
+        let duration_ms = entry
+            .and_then(|e| e.duration_ms)
+            .unwrap_or(self.duration_ms);
         let running = f64::from(self.total_work(target, now).requests);
-        took * (1.0 + running / f64::from(slots.max(1)))
+        duration_ms * (1.0 + running / f64::from(slots.max(1)))
     }
 }
--- a/crates/comfreyhall-routing/src/budget.rs
+++ b/crates/comfreyhall-routing/src/budget.rs
@@ -1,45 +1,44 @@
-//! The budget for sending a request more than once.
+//! The fleet's retry budget.
 //!
 //! Without a bound, an outage multiplies its own load: every failure is sent
-//! again, and the second send meets the same overloaded targets. The whole
-//! fleet may repeat a fixed share of a service's requests in any window, plus
-//! a small allowance; each daemon spends its own part of it, so no daemon
-//! has to ask another.
+//! again, and the retry meets the same overloaded targets. The whole fleet may
+//! retry a fixed share of a service's requests in any window, plus a small
+//! allowance. Each daemon spends its own share, so no coordination is needed.
 
 use std::collections::VecDeque;
 
-/// Part of the allowance a daemon may spend: daemons that start, stop or are
-/// cut off count members differently for a while, and their parts together
-/// must stay below the whole.
-const SAFETY: f64 = 0.7;
+/// Share of the budget that a daemon may spend. Daemons that start, stop or are
+/// partitioned disagree about the number of members for a while, and their
+/// shares together must stay below the whole.
+const SAFETY_FACTOR: f64 = 0.7;
 
-/// One daemon's part of a service's retry budget.
+/// One daemon's share of a service's retry budget.
 #[derive(Debug)]
 pub struct RetryBudget {
     window_ms: u64,
     ratio: f64,
     allowance: f64,
     requests: VecDeque<u64>,
-    repeats: VecDeque<u64>,
+    retries: VecDeque<u64>,
 }
 
 impl RetryBudget {
-    /// Repeats within `window_ms` of at most `ratio` times the requests plus
-    /// this daemon's part of `allowance`.
+    /// Allows retries within `window_ms` of at most `ratio` times the requests
+    /// plus this daemon's share of `allowance`.
     pub fn new(window_ms: u64, ratio: f64, allowance: f64) -> Self {
         Self {
             window_ms,
             ratio,
             allowance,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     fn expire(&mut self, now: u64) {
         let start = now.saturating_sub(self.window_ms);
-        for queue in [&mut self.requests, &mut self.repeats] {
-            while queue.front().is_some_and(|at| *at < start) {
+        for queue in [&mut self.requests, &mut self.retries] {
+            while queue.front().is_some_and(|time| *time < start) {
                 queue.pop_front();
             }
         }
@@ -51,16 +50,16 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the budget; false if none is left.
+    /// Takes one retry out of the budget; false if none is left.
     ///
-    /// `daemons`: how many share the allowance.
+    /// `daemons` is how many share the allowance.
     pub fn try_retry(&mut self, now: u64, daemons: usize) -> bool {
         self.expire(now);
-        let part = self.allowance / daemons.max(1) as f64;
-        let most = SAFETY * (self.ratio * self.requests.len() as f64 + part);
-        let granted = (self.repeats.len() as f64) + 1.0 <= most;
+        let share = self.allowance / daemons.max(1) as f64;
+        let limit = SAFETY_FACTOR * (self.ratio * self.requests.len() as f64 + share);
+        let granted = (self.retries.len() as f64) + 1.0 <= limit;
         if granted {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         granted
     }
--- a/crates/comfreyhall-routing/src/lib.rs
+++ b/crates/comfreyhall-routing/src/lib.rs
@@ -1,11 +1,12 @@
-//! Pure decisions about requests.
+//! Routing decisions as pure functions of time and observed state.
 //!
 //! Everything here takes the time as an argument, in milliseconds of a
-//! steady clock, and touches no network: [`TargetStats`] estimates how long a
-//! request would wait at each target, [`Residency`] knows which target holds
-//! which adapter, [`PrefixIndex`] which prompt parts a target has read,
-//! [`selection`] compares targets, [`RetryBudget`] bounds repeats over the fleet, and
-//! [`admission`] says when to refuse and when to come back.
+//! monotonic clock, and does no I/O: [`TargetStats`] estimates how long a
+//! request would wait at each target, [`Residency`] tracks which target holds
+//! which adapter, [`PrefixIndex`] which prompt prefixes a target has cached,
+//! [`selection`] compares targets, [`RetryBudget`] bounds retries across the
+//! fleet, and [`admission`] decides when to reject a request and when its
+//! caller should retry.
 
 pub mod admission;
 mod board;
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -1,10 +1,10 @@
-//! Which prompt parts which target has read lately.
+//! Index of the prompt prefixes that each target has cached.
 //!
-//! A target keeps the parts of prompts it read, for the same model and
-//! adapter, as long as all parts before them are kept; it need not read them
-//! again. What this daemon sent there is the cheapest evidence of that: it
-//! costs no call and is wrong only when the target dropped the part, which
-//! makes an estimate too low by that part once.
+//! A target keeps the prompt parts that it has processed, for the same model
+//! and adapter, as long as all parts before them are kept, and need not process
+//! them again. The index is derived from what this daemon sent there, which
+//! costs no call. It is wrong only when the target has dropped a part, which
+//! makes one estimate too low by that part.
 
 use std::{
     collections::VecDeque,
@@ -14,19 +14,19 @@
 use comfreyhall_domain::{AdapterRef, Map, Name, Part};
 use rustc_hash::FxHasher;
 
-/// Parts remembered. Beyond it the oldest goes: targets of the deployments
-/// served keep some hundred parts each.
-const MOST: usize = 8_192;
+/// Entries kept before the oldest is dropped: targets of the deployments served
+/// keep some hundred parts each.
+const MAX_ENTRIES: usize = 8_192;
 
-/// Remembers which target read which chain of parts.
+/// Tracks which target has processed which prompt prefix.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
-    read: Map<(u64, Name), u64>,
+    processed: Map<(u64, Name), u64>,
     order: VecDeque<(u64, Name)>,
 }
 
-/// Keys of each chain of first parts, with their tokens.
-fn chains(adapter: &AdapterRef, parts: &[Part]) -> impl Iterator<Item = (u64, u32)> {
+/// Hash of each prefix of `parts`, with the tokens of its last part.
+fn prefix_hashes(adapter: &AdapterRef, parts: &[Part]) -> impl Iterator<Item = (u64, u32)> {
     let mut hash = FxHasher::default();
     adapter.hash(&mut hash);
     parts.iter().map(move |p| {
@@ -36,25 +36,25 @@
 }
 
 impl PrefixIndex {
-    /// Tokens of `parts` that `target` need not read again.
+    /// Tokens of `parts` that `target` has cached.
     pub fn cached_tokens(&self, adapter: &AdapterRef, parts: &[Part], target: &Name) -> u64 {
-        chains(adapter, parts)
-            .take_while(|(key, _)| self.read.contains_key(&(*key, target.clone())))
+        prefix_hashes(adapter, parts)
+            .take_while(|(key, _)| self.processed.contains_key(&(*key, target.clone())))
             .map(|(_, tokens)| u64::from(tokens))
             .sum()
     }
 
-    /// `target` has read `parts`.
+    /// Records that `target` has processed `parts`.
     pub fn record(&mut self, adapter: &AdapterRef, parts: &[Part], target: &Name, now: u64) {
-        for (key, _) in chains(adapter, parts) {
+        for (key, _) in prefix_hashes(adapter, parts) {
             let key = (key, target.clone());
-            if self.read.insert(key.clone(), now).is_none() {
+            if self.processed.insert(key.clone(), now).is_none() {
                 self.order.push_back(key);
             }
         }
-        while self.order.len() > MOST {
+        while self.order.len() > MAX_ENTRIES {
             if let Some(oldest) = self.order.pop_front() {
-                self.read.remove(&oldest);
+                self.processed.remove(&oldest);
             }
         }
     }
--- a/crates/comfreyhall-routing/src/residency.rs
+++ b/crates/comfreyhall-routing/src/residency.rs
@@ -1,17 +1,17 @@
-//! Which target holds which adapter, from news of different ages.
+//! Tracks which target holds which adapter, from sources of different age.
 //!
-//! A target publishes what it holds about every second; the daemon that
-//! gives it orders knows sooner, and an answer of the target itself proves
-//! it at once. Newer direct evidence outlasts an older published list for
-//! [`FRESH_MS`]; afterwards the list decides.
+//! A target publishes what it holds about every second; the daemon that sends
+//! it commands knows sooner, and an answer of the target itself is immediate
+//! proof. Newer direct evidence takes precedence over an older published list
+//! for [`EVIDENCE_TTL_MS`]; afterwards the list decides.
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Target};
 
-/// How long direct evidence outlasts the published list, in ms: two
+/// How long direct evidence takes precedence over the published list: two
 /// publishing intervals of 1,200 ms, and the time to read them.
-const FRESH_MS: u64 = 3_000;
+const EVIDENCE_TTL_MS: u64 = 3_000;
 
-/// What is known of an adapter at a target.
+/// Whether a target holds an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
     /// It holds this version.
@@ -22,60 +22,62 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    standing: Presence,
-    /// When direct evidence came; 0 for the published list.
-    at: u64,
-    /// When it was last known to be held; 0 for never.
-    held: u64,
+    presence: Presence,
+    /// When direct evidence was last received; 0 if only the published list
+    /// says so.
+    evidence_ms: u64,
+    /// When the adapter was last known to be held; 0 for never.
+    last_held_ms: u64,
 }
 
-/// How long an engine still has an adapter at hand after it gave up its
-/// place, in ms. Engines keep the weights of some dozens beside those in
-/// place: on heavy days loads of adapters that an engine had given up took 25
-/// to 55 ms as long as it had loaded fewer than 40 others since, which at a
-/// load or two a second for each engine is about this long.
-const RECENT_MS: u64 = 30_000;
+/// How long an engine still has an adapter cached after it was evicted. Engines
+/// keep the weights of some dozens beside those in slots: under heavy load,
+/// loads of evicted adapters took 25 to 55 ms as long as the engine had loaded
+/// fewer than 40 others since, which at a load or two a second for each engine
+/// is about this long.
+const CACHE_TTL_MS: u64 = 30_000;
 
-/// Adapters and where they are, by target: what is asked for each request is
-/// about one target, and a fleet knows some thousand adapters.
+/// Adapters by the targets that hold them. The outer map is keyed by target,
+/// since each lookup is about one target and a fleet has some thousand
+/// adapters.
 #[derive(Debug, Default)]
 pub struct Residency {
-    places: Map<Name, Map<AdapterRef, Entry>>,
-    /// Targets that hold each adapter.
-    copies: Map<AdapterRef, u32>,
-    /// Adapters that each target holds.
-    held: Map<Name, u32>,
+    by_target: Map<Name, Map<AdapterRef, Entry>>,
+    /// Number of targets that hold each adapter.
+    copy_counts: Map<AdapterRef, u32>,
+    /// Number of adapters that each target holds.
+    adapter_counts: Map<Name, u32>,
 }
 
 impl Residency {
-    /// Direct evidence at `now`.
-    pub fn record(&mut self, adapter: &AdapterRef, target: &Name, standing: Presence, now: u64) {
+    /// Records direct evidence received at `now`.
+    pub fn record(&mut self, adapter: &AdapterRef, target: &Name, presence: Presence, now: u64) {
         if adapter.adapter.is_none() {
             return;
         }
-        let known = self.entry(adapter, target).map_or(0, |e| e.held);
-        let held = match standing {
+        let known = self.entry(adapter, target).map_or(0, |e| e.last_held_ms);
+        let last_held_ms = match presence {
             Presence::Held(_) => now,
             Presence::Absent => known,
         };
         let entry = Entry {
-            standing,
-            at: now,
-            held,
+            presence,
+            evidence_ms: now,
+            last_held_ms,
         };
-        self.put(adapter, target, Some(entry));
+        self.set(adapter, target, Some(entry));
     }
 
-    /// Takes over the list that `target` published.
+    /// Applies the list that `target` published.
     pub fn apply_report(&mut self, target: &Target, now: u64) {
         for (adapter, entry) in self.entries(&target.id) {
             let mut next = entry;
-            if !fresh(&entry, now) {
-                next.standing = Presence::Absent;
+            if !has_fresh_evidence(&entry, now) {
+                next.presence = Presence::Absent;
             }
-            let absent = next.standing == Presence::Absent;
-            let forgotten = absent && now.saturating_sub(next.held) >= RECENT_MS;
-            self.put(&adapter, &target.id, (!forgotten).then_some(next));
+            let absent = next.presence == Presence::Absent;
+            let forgotten = absent && now.saturating_sub(next.last_held_ms) >= CACHE_TTL_MS;
+            self.set(&adapter, &target.id, (!forgotten).then_some(next));
         }
         for held in &target.held {
             for (name, version) in &held.adapters {
@@ -84,47 +86,50 @@
                     adapter: Some(name.clone()),
                 };
                 let known = self.entry(&adapter, &target.id);
-                if known.is_some_and(|e| fresh(e, now)) {
+                if known.is_some_and(|e| has_fresh_evidence(e, now)) {
                     continue;
                 }
                 let seen = Entry {
-                    standing: Presence::Held(*version),
-                    at: 0,
-                    held: now,
+                    presence: Presence::Held(*version),
+                    evidence_ms: 0,
+                    last_held_ms: now,
                 };
-                self.put(&adapter, &target.id, Some(seen));
+                self.set(&adapter, &target.id, Some(seen));
             }
         }
     }
 
-    /// Whether `target` held `adapter` lately and so loads it quickly.
+    /// Whether `target` held `adapter` recently, so that it is likely cached
+    /// there and loads quickly.
     pub fn likely_cached(&self, adapter: &AdapterRef, target: &Name, now: u64) -> bool {
         let entry = self.entry(adapter, target);
-        entry.is_some_and(|e| e.held > 0 && now.saturating_sub(e.held) < RECENT_MS)
+        entry.is_some_and(|e| {
+            e.last_held_ms > 0 && now.saturating_sub(e.last_held_ms) < CACHE_TTL_MS
+        })
     }
 
-    /// Targets that hold `adapter`.
+    /// Number of targets that hold `adapter`.
     pub fn copy_count(&self, adapter: &AdapterRef) -> u32 {
-        self.copies.get(adapter).copied().unwrap_or(0)
+        self.copy_counts.get(adapter).copied().unwrap_or(0)
     }
 
-    /// Adapters that `target` holds, counted.
+    /// Number of adapters that `target` holds.
     pub fn adapter_count(&self, target: &Name) -> u32 {
-        self.held.get(target).copied().unwrap_or(0)
+        self.adapter_counts.get(target).copied().unwrap_or(0)
     }
 
-    /// Forgets a target that is gone.
+    /// Removes a target that no longer exists.
     pub fn remove(&mut self, target: &Name) {
         for (adapter, _) in self.entries(target) {
-            self.put(&adapter, target, None);
+            self.set(&adapter, target, None);
         }
-        self.places.remove(target);
-        self.held.remove(target);
+        self.by_target.remove(target);
+        self.adapter_counts.remove(target);
     }
 
     /// The version of `adapter` that `target` holds.
     pub fn held_version(&self, adapter: &AdapterRef, target: &Name) -> Option<u64> {
-        match self.entry(adapter, target)?.standing {
+        match self.entry(adapter, target)?.presence {
             Presence::Held(version) => Some(version),
             Presence::Absent => None,
         }
@@ -133,7 +138,7 @@
     /// Adapters that `target` holds, with their versions.
     pub fn held_adapters(&self, target: &Name) -> Vec<(AdapterRef, u64)> {
         let entries = self.entries(target).into_iter();
-        let held = entries.filter_map(|(adapter, entry)| match entry.standing {
+        let held = entries.filter_map(|(adapter, entry)| match entry.presence {
             Presence::Held(version) => Some((adapter, version)),
             Presence::Absent => None,
         });
@@ -141,21 +146,22 @@
     }
 
     fn entry(&self, adapter: &AdapterRef, target: &Name) -> Option<&Entry> {
-        self.places.get(target)?.get(adapter)
+        self.by_target.get(target)?.get(adapter)
     }
 
-    /// All that is known of `target`.
+    /// All entries of `target`.
     fn entries(&self, target: &Name) -> Vec<(AdapterRef, Entry)> {
-        let known = self.places.get(target);
+        let known = self.by_target.get(target);
         let known = known.into_iter().flatten();
         known.map(|(a, e)| (a.clone(), *e)).collect()
     }
 
-    /// Sets what is known of `adapter` at `target`; keeps the counts.
-    fn put(&mut self, adapter: &AdapterRef, target: &Name, entry: Option<Entry>) {
-        let holds = |e: &Entry| matches!(e.standing, Presence::Held(_));
+    /// Sets or removes the entry of `adapter` at `target` and updates the
+    /// counts.
+    fn set(&mut self, adapter: &AdapterRef, target: &Name, entry: Option<Entry>) {
+        let holds = |e: &Entry| matches!(e.presence, Presence::Held(_));
         let after = entry.as_ref().is_some_and(holds);
-        let entries = self.places.entry(target.clone()).or_default();
+        let entries = self.by_target.entry(target.clone()).or_default();
         let old = match entry {
             Some(entry) => entries.insert(adapter.clone(), entry),
             None => entries.remove(adapter),
@@ -164,8 +170,8 @@
         if before == after {
             return;
         }
-        let copies = self.copies.entry(adapter.clone()).or_default();
-        let held = self.held.entry(target.clone()).or_default();
+        let copies = self.copy_counts.entry(adapter.clone()).or_default();
+        let held = self.adapter_counts.entry(target.clone()).or_default();
         for count in [&mut *copies, held] {
             *count = if after {
                 *count + 1
@@ -174,11 +180,11 @@
             };
         }
         if *copies == 0 {
-            self.copies.remove(adapter);
+            self.copy_counts.remove(adapter);
         }
     }
 }
 
-fn fresh(entry: &Entry, now: u64) -> bool {
-    entry.at > 0 && now.saturating_sub(entry.at) < FRESH_MS
+fn has_fresh_evidence(entry: &Entry, now: u64) -> bool {
+    entry.evidence_ms > 0 && now.saturating_sub(entry.evidence_ms) < EVIDENCE_TTL_MS
 }
--- a/crates/comfreyhall-routing/src/tests.rs
+++ b/crates/comfreyhall-routing/src/tests.rs
@@ -9,7 +9,7 @@
     s.into()
 }
 
-fn choice(id: &str, wait_ms: f64, load_ms: f64) -> Candidate {
+fn candidate(id: &str, wait_ms: f64, load_ms: f64) -> Candidate {
     Candidate {
         id: id.into(),
         same_domain: true,
@@ -30,42 +30,42 @@
     }
 }
 
-/// Symptom: during an outage each failure was sent again and the targets
-/// got twice their load. Events: every answer fails for a window. Cause:
-/// repeats were not bounded by the requests.
+/// Guards against a retry storm: in an outage every failure was sent again and
+/// the targets got twice their load, because retries were not bounded by the
+/// number of requests.
 #[test]
-fn repeat_bounded_by_requests() {
-    let mut b = RetryBudget::new(10_000, 0.2, 14.0);
+fn try_retry_bounded_by_requests() {
+    let mut budget = RetryBudget::new(10_000, 0.2, 14.0);
     for i in 0..100 {
-        b.record_request(i);
+        budget.record_request(i);
     }
-    let granted = (0..100).filter(|_| b.try_retry(100, 7)).count();
+    let granted = (0..100).filter(|_| budget.try_retry(100, 7)).count();
     assert_eq!(granted, 15);
-    assert!(b.try_retry(20_000, 1));
+    assert!(budget.try_retry(20_000, 1));
 }
 
-/// Symptom: a third of the loads from the weight store brought back what some
-/// engine had given up shortly before. Events: its engine has a queue that is
-/// 200 ms longer than another's. Cause: the time of a load was all it cost.
+/// Guards against needless loads from the weight store: a third of them brought
+/// back adapters that an engine had evicted shortly before, because a queue 200
+/// ms longer than another's outweighed the duration of the load alone.
 #[test]
-fn best_at_hand_beats_store() {
-    let kept = choice("kept", 300.0, 25.0);
-    let stored = Candidate {
+fn select_cached_beats_store() {
+    let cached = candidate("kept", 300.0, 25.0);
+    let from_store_only = Candidate {
         from_store: true,
-        ..choice("other", 100.0, 250.0)
+        ..candidate("other", 100.0, 250.0)
     };
-    let both = [kept, stored];
+    let both = [cached, from_store_only];
     let best = selection::select(&both, 500.0, Spread::Equal, 0).unwrap();
     assert_eq!(&*best.id, "kept");
 }
 
-/// Symptom: engines read the same shared prompts again, 12 in 100 of all they
-/// read. Events: two engines hold a hot adapter, six daemons send to both.
-/// Cause: each daemon knew only of the prompts that it had sent itself. Here
-/// 600 requests share 34 prompts of 6,300 tokens; without agreement each
-/// engine reads each of them.
+/// Guards against engines that process the same shared prompts again, 12 in 100
+/// of all they processed, when two engines hold a hot adapter and six daemons
+/// each know only the prompts that they sent themselves. Here 600 requests
+/// share 34 prompts of 6,300 tokens; without agreement each engine processes
+/// each of them.
 #[test]
-fn reader_one_engine_reads_each_prompt() {
+fn prefix_engine_each_prompt_processed_once() {
     let holders = [name("e1"), name("e2")];
     let parts = |i: u64| [i % 34, 1_000 + i].map(|id| Part { id, tokens: 6_300 });
     let reads = |to: &dyn Fn(u64) -> Name| {
@@ -73,13 +73,13 @@
             (0..600).map(|i| (i % 34, to(i))).collect();
         read.len()
     };
-    let by_draw = reads(&|i| holders[(i / 34 % 2) as usize].clone());
+    let alternating = reads(&|i| holders[(i / 34 % 2) as usize].clone());
     let agreed = reads(&|i| {
         let reader = selection::prefix_engine("m/a1", &parts(i), holders.iter());
         reader.unwrap().clone()
     });
-    assert_eq!((by_draw, agreed), (68, 34));
-    // Both take part.
+    assert_eq!((alternating, agreed), (68, 34));
+    // Both engines take part.
     let first = |i| selection::prefix_engine("m/a1", &parts(i), holders.iter());
     assert!((0..34).any(|i| first(i) != first(0)));
     assert_eq!(
@@ -89,17 +89,23 @@
 }
 
 #[test]
-fn best_copy_beats_long_queue() {
-    let choices = [choice("hot", 600.0, 0.0), choice("idle", 100.0, 250.0)];
+fn select_copy_beats_long_queue() {
+    let candidates = [
+        candidate("hot", 600.0, 0.0),
+        candidate("idle", 100.0, 250.0),
+    ];
     assert_eq!(
-        &*selection::select(&choices, 500.0, Spread::Equal, 0)
+        &*selection::select(&candidates, 500.0, Spread::Equal, 0)
             .unwrap()
             .id,
         "idle"
     );
-    let choices = [choice("hot", 300.0, 0.0), choice("idle", 100.0, 250.0)];
+    let candidates = [
+        candidate("hot", 300.0, 0.0),
+        candidate("idle", 100.0, 250.0),
+    ];
     assert_eq!(
-        &*selection::select(&choices, 500.0, Spread::Equal, 0)
+        &*selection::select(&candidates, 500.0, Spread::Equal, 0)
             .unwrap()
             .id,
         "hot"
@@ -107,10 +113,10 @@
 }
 
 #[test]
-fn best_equal_spread_by_draw() {
-    let choices = [choice("a", 100.0, 0.0), choice("b", 104.0, 0.0)];
+fn select_equal_costs_share_requests() {
+    let candidates = [candidate("a", 100.0, 0.0), candidate("b", 104.0, 0.0)];
     let at = |draw| {
-        selection::select(&choices, 500.0, Spread::Equal, draw)
+        selection::select(&candidates, 500.0, Spread::Equal, draw)
             .unwrap()
             .id
             .clone()
@@ -118,18 +124,18 @@
     assert_ne!(at(0), at(1));
 }
 
-/// Mean ms that `COPIES` engines keep requests waiting which 60 times a
-/// second bring 125 ms of prompt each, sent by daemons that see the queues as
-/// they were at the last news.
-fn play_stale_news(spread: Spread) -> f64 {
+/// Mean wait in ms at `COPIES` engines. 60 times a second a request with 125 ms
+/// of prompt arrives, sent by daemons that see the queues as they were at the
+/// last report.
+fn simulate_stale_reports(spread: Spread) -> f64 {
     const COPIES: usize = 11;
-    const NEWS_MS: u64 = 500;
+    const REPORT_INTERVAL_MS: u64 = 500;
     let mut queues = [0.0_f64; COPIES];
     let mut seen = queues;
     let mut draw = 7_u64;
     let (mut waited, mut count) = (0.0, 0.0);
     for now in 0..30_000_u64 {
-        if now % NEWS_MS == 0 {
+        if now % REPORT_INTERVAL_MS == 0 {
             seen = queues;
         }
         queues.iter_mut().for_each(|q| *q = (*q - 1.0).max(0.0));
@@ -140,13 +146,13 @@
         if !arrives {
             continue;
         }
-        let choices: Vec<Candidate> = seen
+        let candidates: Vec<Candidate> = seen
             .iter()
             .enumerate()
-            .map(|(i, wait)| choice(&i.to_string(), *wait, 0.0))
+            .map(|(i, wait)| candidate(&i.to_string(), *wait, 0.0))
             .collect();
         let mixed = draw.rotate_left(17).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let to = selection::select(&choices, 500.0, spread, mixed).unwrap();
+        let to = selection::select(&candidates, 500.0, spread, mixed).unwrap();
         let to: usize = to.id.parse().unwrap();
         waited += queues[to];
         count += 1.0;
@@ -155,34 +161,37 @@
     waited / count
 }
 
-/// Symptom: a third of the requests for the most wanted adapter were late
-/// although eleven engines held it. Events: 89 daemons learn of the engines'
-/// queues twice a second and send what comes meanwhile to the engine whose
-/// queue was shortest. Cause: they all choose the same one.
+/// Guards against a thundering herd: a third of the requests for the most
+/// requested adapter were late although eleven engines held it, because 89
+/// daemons learned of the queues twice a second and in between all chose the
+/// engine whose queue had been shortest.
 #[test]
-fn best_stale_news_shares() {
+fn select_stale_reports_shares_requests() {
     let (equal, shared) = (
-        play_stale_news(Spread::Equal),
-        play_stale_news(Spread::Stale(150.0)),
+        simulate_stale_reports(Spread::Equal),
+        simulate_stale_reports(Spread::Stale(150.0)),
     );
     assert!(equal > 350.0, "{equal}");
     assert!(shared < 200.0, "{shared}");
 }
 
 #[test]
-fn best_stale_prefers_no_load() {
-    let choices = [choice("held", 300.0, 0.0), choice("idle", 60.0, 250.0)];
+fn select_stale_prefers_no_load() {
+    let candidates = [
+        candidate("held", 300.0, 0.0),
+        candidate("idle", 60.0, 250.0),
+    ];
     for draw in [0, u64::MAX / 2, u64::MAX] {
-        let best = selection::select(&choices, 500.0, Spread::Stale(150.0), draw).unwrap();
+        let best = selection::select(&candidates, 500.0, Spread::Stale(150.0), draw).unwrap();
         assert_eq!(&*best.id, "held");
     }
 }
 
 #[test]
-fn best_tried_only_when_alone() {
-    let mut tried = choice("a", 1.0, 0.0);
+fn select_tried_only_when_alone() {
+    let mut tried = candidate("a", 1.0, 0.0);
     tried.tried = true;
-    let other = choice("b", 900.0, 0.0);
+    let other = candidate("b", 900.0, 0.0);
     let both = [tried.clone(), other];
     assert_eq!(
         &*selection::select(&both, 500.0, Spread::Equal, 0)
@@ -198,72 +207,71 @@
     );
 }
 
-/// Symptom: all requests waited while every engine was up. Events: all
-/// targets failed half of their requests for some seconds. Cause: ejection
-/// that could take out every target.
+/// Guards against ejecting every target: when all targets failed half of their
+/// requests for some seconds, all requests waited although every engine was up.
 #[test]
-fn health_never_takes_all_out() {
-    let mut board = TargetStats::default();
+fn health_failing_targets_recover() {
+    let mut stats = TargetStats::default();
     let t = name("t");
     for i in 0..50 {
-        board.record_outcome(&t, false, 1.0, i);
+        stats.record_outcome(&t, false, 1.0, i);
     }
-    assert!(board.health(&t, 50) < 0.2);
-    assert!(board.health(&t, 30_000) > 0.95);
+    assert!(stats.health(&t, 50) < 0.2);
+    assert!(stats.health(&t, 30_000) > 0.95);
 }
 
 #[test]
-fn work_sums_own_and_fresh_peers() {
-    let mut board = TargetStats::default();
+fn total_work_sums_own_and_fresh_peers() {
+    let mut stats = TargetStats::default();
     let t = name("t");
-    board.request_sent(&t, 100);
-    let told = Work {
+    stats.request_sent(&t, 100);
+    let report = Work {
         waiting_tokens: 0,
         prefill_tokens: 50,
         requests: 1,
     };
     let works = |w: &[(Name, Work)]| w.iter().cloned().collect::<Map<Name, Work>>();
-    board.set_peer_work(&name("p"), &works(&[(t.clone(), told)]), 2_000);
-    assert_eq!(board.total_work(&t, 1_500).prefill_tokens, 150);
-    assert_eq!(board.total_work(&t, 5_000).prefill_tokens, 100);
-    board.set_peer_work(&name("p"), &works(&[(t.clone(), told)]), 7_000);
-    board.set_peer_work(&name("p"), &works(&[]), 7_100);
+    stats.set_peer_work(&name("p"), &works(&[(t.clone(), report)]), 2_000);
+    assert_eq!(stats.total_work(&t, 1_500).prefill_tokens, 150);
+    assert_eq!(stats.total_work(&t, 5_000).prefill_tokens, 100);
+    stats.set_peer_work(&name("p"), &works(&[(t.clone(), report)]), 7_000);
+    stats.set_peer_work(&name("p"), &works(&[]), 7_100);
     assert_eq!(
-        board.total_work(&t, 6_100).prefill_tokens,
+        stats.total_work(&t, 6_100).prefill_tokens,
         100,
-        "it ended there"
+        "the request ended there"
     );
-    board.set_others_work(&t, told, 7_000);
-    assert_eq!(board.total_work(&t, 6_900).prefill_tokens, 150);
-    assert_eq!(board.total_work(&t, 7_001).prefill_tokens, 100);
-    board.prompt_read(&t, 100);
-    board.request_ended(&t);
-    assert_eq!(board.own_work().count(), 0);
+    stats.set_others_work(&t, report, 7_000);
+    assert_eq!(stats.total_work(&t, 6_900).prefill_tokens, 150);
+    assert_eq!(stats.total_work(&t, 7_001).prefill_tokens, 100);
+    stats.prompt_read(&t, 100);
+    stats.request_ended(&t);
+    assert_eq!(stats.own_work().count(), 0);
 }
 
 #[test]
-fn peer_more_counts_until_less() {
-    let mut board = TargetStats::default();
+fn add_peer_work_counts_until_subtracted() {
+    let mut stats = TargetStats::default();
     let (p, t) = (name("p"), name("t"));
     let work = |prefill, running| Work {
         prefill_tokens: prefill,
         requests: running,
         waiting_tokens: 0,
     };
-    board.add_peer_work(&p, &t, work(300, 1), 1_000);
-    board.add_peer_work(&p, &t, work(200, 1), 1_500);
-    assert_eq!(board.total_work(&t, 1_400), work(500, 2));
-    board.subtract_peer_work(&p, &t, work(300, 0));
-    board.subtract_peer_work(&p, &t, work(0, 1));
-    assert_eq!(board.total_work(&t, 1_400), work(200, 1));
-    // Work that was told of and ended meanwhile is not counted below none.
-    board.subtract_peer_work(&p, &t, work(900, 9));
-    assert_eq!(board.total_work(&t, 1_400), work(0, 0));
-    assert_eq!(board.total_work(&t, 1_501), work(0, 0));
+    stats.add_peer_work(&p, &t, work(300, 1), 1_000);
+    stats.add_peer_work(&p, &t, work(200, 1), 1_500);
+    assert_eq!(stats.total_work(&t, 1_400), work(500, 2));
+    stats.subtract_peer_work(&p, &t, work(300, 0));
+    stats.subtract_peer_work(&p, &t, work(0, 1));
+    assert_eq!(stats.total_work(&t, 1_400), work(200, 1));
+    // Subtracting more than was reported does not go below zero.
+    stats.subtract_peer_work(&p, &t, work(900, 9));
+    assert_eq!(stats.total_work(&t, 1_400), work(0, 0));
+    assert_eq!(stats.total_work(&t, 1_501), work(0, 0));
 }
 
 #[test]
-fn kept_counts_unbroken_chain() {
+fn cached_tokens_counts_unbroken_chain() {
     let mut p = PrefixIndex::default();
     let part = |id, tokens| Part { id, tokens };
     let t = name("t");
@@ -275,11 +283,9 @@
     assert_eq!(p.cached_tokens(&adapter(), &same, &name("u")), 0);
 }
 
-/// Symptom: an adapter that had just been loaded was ordered again.
-/// Events: the load ends; the target's list from before it arrives. Cause:
-/// the older list replaced the newer evidence.
+/// Guards against counts that drift from the recorded evidence.
 #[test]
-fn count_and_copies_follow_what_is_held() {
+fn copy_count_follows_evidence() {
     let mut r = Residency::default();
     let (a, b) = (name("a"), name("b"));
     r.record(&adapter(), &a, Presence::Held(1), 1_000);
@@ -298,14 +304,17 @@
     assert_eq!((r.copy_count(&adapter()), r.adapter_count(&a)), (1, 0));
     assert!(
         r.likely_cached(&adapter(), &a, 1_500),
-        "it is at hand there"
+        "it is still cached there"
     );
     r.remove(&b);
     assert_eq!((r.copy_count(&adapter()), r.adapter_count(&b)), (0, 0));
 }
 
+/// Guards against a published list that replaces newer evidence: an adapter that
+/// had just been loaded was loaded again, because the target's list from before
+/// the load arrived after it.
 #[test]
-fn publish_old_list_keeps_fresh_evidence() {
+fn apply_report_keeps_fresher_evidence() {
     let mut r = Residency::default();
     let t = name("t");
     r.record(&adapter(), &t, Presence::Held(2), 1_000);
@@ -329,13 +338,13 @@
 }
 
 #[test]
-fn refuse_lower_rank_sooner() {
+fn should_refuse_lower_priority_sooner() {
     assert!(!admission::should_refuse(600.0, 1_000, 1_000, 0));
     assert!(admission::should_refuse(600.0, 1_000, 1_000, 2));
 }
 
 #[test]
-fn retry_within_third_of_left() {
+fn retry_ms_within_third_of_time_left() {
     assert_eq!(admission::retry_ms(5_000.0, 900, 7), 300);
     let (a, b) = (
         admission::retry_ms(1_000.0, 60_000, 1),
@@ -344,59 +353,60 @@
     assert!(a != b && a >= 1_000 && b <= 1_500);
 }
 
-/// Symptom: adapters were loaded a second time although the engine that held
-/// them would have answered in time. Events: most prompts come alone and take
-/// 190 ms for 1,500 tokens; then a queue of 10,000 forms. Cause: the rate of
-/// lone prompts was taken for the rate at which a queue is read.
+/// Guards against overestimated queues: adapters were loaded a second time
+/// although the engine that held them would have answered in time, because the
+/// rate of lone prompts (190 ms for 1,500 tokens) was taken for the rate at
+/// which a queue of 10,000 is processed.
 #[test]
-fn prefill_ms_long_queue_not_overrated() {
+fn prefill_ms_long_queue_not_overestimated() {
     let (engine, slow) = (name("e"), name("slow"));
-    let mut board = TargetStats::default();
-    let took = |tokens: u64| 115 + tokens / 25;
+    let mut stats = TargetStats::default();
+    let latency_ms = |tokens: u64| 115 + tokens / 25;
     for i in 0..400 {
         let tokens = 1_000 + 50 * (i % 20);
-        board.record_first_token(&engine, tokens, took(tokens));
+        stats.record_first_token(&engine, tokens, latency_ms(tokens));
         if i % 10 == 0 {
-            board.record_first_token(&engine, 8_000, took(8_000));
-            board.record_first_token(&slow, 2_000, 4 * took(2_000));
+            stats.record_first_token(&engine, 8_000, latency_ms(8_000));
+            stats.record_first_token(&slow, 2_000, 4 * latency_ms(2_000));
         }
     }
-    let expect = |target, tokens| board.prefill_ms(target, tokens, 0);
+    let expect = |target, tokens| stats.prefill_ms(target, tokens, 0);
     let queue = expect(&engine, 10_000);
     assert!((420.0..650.0).contains(&queue), "{queue}");
     let alone = expect(&engine, 1_500);
     assert!((150.0..260.0).contains(&alone), "{alone}");
-    let ill = expect(&slow, 1_500);
-    assert!(ill > 2.5 * alone, "{ill} against {alone}");
+    let of_slow = expect(&slow, 1_500);
+    assert!(of_slow > 2.5 * alone, "{of_slow} against {alone}");
 }
 
-/// Symptom: a daemon that had just met an engine took it for twice as slow as
-/// it is. Events: in a fleet of 89 a daemon has a sample of each engine every
-/// quarter of a minute. Cause: each engine's speed was learned by itself.
+/// Guards against a wrong first estimate of an engine: in a fleet of 89 a
+/// daemon has a sample of each engine every quarter of a minute, and a daemon
+/// that learned each engine's speed separately took a new one for twice as slow
+/// as it is.
 #[test]
 fn prefill_ms_unknown_engine_like_others() {
-    let mut board = TargetStats::default();
+    let mut stats = TargetStats::default();
     for i in 0..600_u64 {
         let tokens = 500 + 37 * (i % 200);
-        board.record_first_token(&name("e"), tokens, 60 + tokens / 50);
+        stats.record_first_token(&name("e"), tokens, 60 + tokens / 50);
     }
-    let known = board.prefill_ms(&name("e"), 4_000, 0);
-    let new = board.prefill_ms(&name("new"), 4_000, 0);
+    let known = stats.prefill_ms(&name("e"), 4_000, 0);
+    let new = stats.prefill_ms(&name("new"), 4_000, 0);
     assert!((new - known).abs() < 0.1 * known, "{new} {known}");
 }
 
-/// Guards against a daemon that refuses plain requests for good after one slow answer
-/// of each target.
+/// Guards against a daemon that rejects plain requests for good after one slow
+/// answer of each target.
 #[test]
 fn plain_ms_slow_answer_is_forgotten() {
-    let mut board = TargetStats::default();
+    let mut stats = TargetStats::default();
     let target = "t".into();
-    board.record_duration(&target, 2_000);
-    let aim_ms = 300;
+    stats.record_duration(&target, 2_000);
+    let objective_ms = 300;
     let minute = 60_000;
-    let wait_ms = board.plain_ms(&target, 8, minute);
+    let wait_ms = stats.plain_ms(&target, 8, minute);
     assert!(
-        !admission::should_refuse(wait_ms, 2_000, aim_ms, 0),
+        !admission::should_refuse(wait_ms, 2_000, objective_ms, 0),
         "{wait_ms}"
     );
 }
