--- a/crates/comfreyhall-backpressure/src/lib.rs
+++ b/crates/comfreyhall-backpressure/src/lib.rs
@@ -1,14 +1,14 @@
-//! What targets say of themselves in their answers, and what follows from it.
+//! Backpressure signals that targets send in their answers, and what follows
+//! from them.
 //!
-//! A target in need says so in the heads of its answers ([`Notice`]). What
-//! goes wrong without this crate: nobody reads the word, every daemon goes on
-//! as before, and a target that asked for less gets what it got. One notices
-//! targets that stay overloaded for as long as they say that they are.
+//! A target under load says so in the headers of its answers ([`Notice`]). If
+//! nobody read them, every daemon would go on as before, and a target that
+//! asked for fewer requests would stay overloaded.
 //!
-//! Every daemon keeps [`TargetSignals`]: what each target last said. It belongs to one
-//! start of the target, by its id; another start at the same address is free.
-//! Everything here takes the time as an argument, in ms of a steady clock, and
-//! touches no network.
+//! Every daemon keeps [`TargetSignals`]: the last notice of each target. They
+//! belong to one boot of the target (one start of its process), by its id;
+//! another boot at the same address has none. Everything here takes the time as
+//! an argument, in ms of a monotonic clock, and does no I/O.
 
 mod gate;
 mod notice;
--- a/crates/comfreyhall-backpressure/src/notice.rs
+++ b/crates/comfreyhall-backpressure/src/notice.rs
@@ -1,34 +1,34 @@
-//! What a target says of itself in the head of one answer.
+//! Backpressure signals in the headers of one answer.
 
 use thiserror::Error;
 
-/// Least rate that is told apart, in requests a second: a target that names
-/// less, or nothing at all, still gets a request now and then, since only its
-/// answers can take the limit back.
-const LEAST: f64 = 0.1;
+/// Lowest limit in requests a second. A target that asks for less, or for
+/// nothing at all, still gets a request now and then, since only its answers
+/// can lift the limit.
+const MIN_PER_S: f64 = 0.1;
 
-/// Rate from which on a limit is none, in requests a second: no target takes
+/// Limits of this many requests a second or more count as none: no target takes
 /// as many.
-const MOST: f64 = 1_000_000.0;
+const MAX_PER_S: f64 = 1_000_000.0;
 
-/// Rate of a limit that cannot be read, in requests a second: the target is in
-/// need, and nobody knows how much.
-const UNREAD: f64 = 1.0;
+/// Limit in requests a second where the value is invalid: the target is
+/// overloaded by an unknown amount.
+const INVALID_PER_S: f64 = 1.0;
 
 /// Requests a second that a target takes from all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// The rate of a limit that cannot be read.
-    pub(crate) const UNREAD: Self = Self(UNREAD);
+    /// The limit that replaces an invalid one.
+    pub(crate) const INVALID: Self = Self(INVALID_PER_S);
 
     /// The limit `per_s`; `None` if it is so high that it limits nothing.
     pub fn from_per_s(per_s: f64) -> Option<Self> {
         match per_s {
-            _ if per_s.is_nan() => Some(Self::UNREAD),
-            _ if per_s >= MOST => None,
-            _ => Some(Self(per_s.max(LEAST))),
+            _ if per_s.is_nan() => Some(Self::INVALID),
+            _ if per_s >= MAX_PER_S => None,
+            _ => Some(Self(per_s.max(MIN_PER_S))),
         }
     }
 
@@ -38,47 +38,52 @@
     }
 }
 
-/// What is odd about a notice, and how it is taken.
+/// A value in a notice that could not be taken as written, and how it is
+/// handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Anomaly {
-    /// Its limit is no number.
+    /// The limit is not a number.
     #[error("the limit is no number, so one request a second is sent; name a number")]
     LimitInvalid,
-    /// Its limit is below the least.
-    #[error("the limit is below 0.1 a second, so one request in 10 s is sent; name more, or leave")]
+    /// The limit is below the lowest.
+    #[error(
+        "the limit is below 0.1 requests a second, so one request in 10 s is sent; set a higher limit, or drain"
+    )]
     LimitTooLow,
-    /// Its limit is so high that it says nothing.
-    #[error("the limit is over any rate, so it counts as none; leave it out")]
+    /// The limit is too high to have an effect.
+    #[error("the limit is 1000000 requests a second or more, so it is ignored; omit the header")]
     LimitTooHigh,
-    /// Its rest is no number of seconds.
-    #[error("the rest is no number of seconds, so 3 s are kept; give seconds, not a date")]
+    /// The cooldown is not a number of seconds.
+    #[error("the cooldown is not a number of seconds, so 3 s are used; send seconds, not a date")]
     CooldownInvalid,
-    /// Its rest is below nothing.
-    #[error("the rest is below 0 s, so none is kept; give more, or leave it out")]
+    /// The cooldown is negative.
+    #[error(
+        "the cooldown is negative, so it is ignored; send a positive number, or omit the header"
+    )]
     CooldownNegative,
-    /// Its rest is longer than any that is kept.
-    #[error("the rest is over 300 s, so 300 s are kept; ask again then, or leave")]
+    /// The cooldown is longer than the maximum.
+    #[error("the cooldown is over 300 s, so 300 s are used; ask again after that, or drain")]
     CooldownTooLong,
-    /// It asks for several rests.
-    #[error("several rests are asked for, so the longest is kept; ask for one")]
+    /// The cooldown is given several times.
+    #[error("several cooldowns are given, so the longest is used; send one")]
     CooldownRepeated,
-    /// Whether it leaves is neither yes nor no.
-    #[error("whether it leaves is neither 0 nor 1, so it gets 3 s of rest; write 1 to leave")]
+    /// The draining flag is neither 0 nor 1.
+    #[error("the draining flag is neither 0 nor 1, so a cooldown of 3 s is used; send 1 to drain")]
     DrainingInvalid,
-    /// It names several limits.
-    #[error("several limits are named, so the lowest counts; name one")]
+    /// The limit is given several times.
+    #[error("several limits are given, so the lowest applies; send one")]
     LimitRepeated,
 }
 
-/// What a target says of itself in the head of one answer.
+/// Backpressure signals in the headers of one answer.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Notice {
-    /// Requests a second that it takes from all daemons together.
+    /// Requests a second that the target takes from all daemons together.
     pub limit: Option<Rate>,
-    /// How long it wants nothing from this daemon, in ms.
+    /// How long it asks this daemon not to send.
     pub cooldown_ms: Option<u64>,
-    /// Whether this start of it leaves.
+    /// Whether this boot of the target is draining.
     pub draining: bool,
-    /// What in it was not read as written.
+    /// Values that were not taken as written.
     pub anomalies: Vec<Anomaly>,
 }
--- a/crates/comfreyhall-backpressure/src/tests.rs
+++ b/crates/comfreyhall-backpressure/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 fn limit(values: &[&str]) -> (Option<f64>, Vec<Anomaly>) {
-    let mut odd = Vec::new();
-    let rate = parse_limit(values.iter().map(|v| v.as_bytes()), &mut odd);
-    (rate.map(Rate::per_s), odd)
+    let mut anomalies = Vec::new();
+    let rate = parse_limit(values.iter().map(|v| v.as_bytes()), &mut anomalies);
+    (rate.map(Rate::per_s), anomalies)
 }
 
 fn notice(per_s: Option<f64>) -> Notice {
@@ -14,15 +14,15 @@
 }
 
 #[test]
-fn read_limit_plain_number() {
+fn parse_limit_plain_number() {
     assert_eq!(limit(&["2"]), (Some(2.0), vec![]));
     assert_eq!(limit(&[" 1.3 "]), (Some(1.3), vec![]));
     assert_eq!(limit(&[]), (None, vec![]));
 }
 
-/// Guards against odd limits that are passed over, panic, or shut a target out.
+/// Guards against invalid limits that are ignored, panic, or exclude a target.
 #[test]
-fn read_limit_odd_values_are_safe() {
+fn parse_limit_invalid_values_are_safe() {
     use Anomaly::*;
     for text in ["", "many", "NaN", "-nan", "1,5", "2 req", "\u{fe}"] {
         assert_eq!(limit(&[text]), (Some(1.0), vec![LimitInvalid]), "{text}");
@@ -34,199 +34,205 @@
         assert_eq!(limit(&[text]), (None, vec![LimitTooHigh]), "{text}");
     }
     assert_eq!(limit(&["9", "4"]), (Some(4.0), vec![LimitRepeated]));
-    let unread = vec![LimitRepeated, LimitInvalid];
-    assert_eq!(limit(&["9", "x"]), (Some(1.0), unread));
+    let repeated = vec![LimitRepeated, LimitInvalid];
+    assert_eq!(limit(&["9", "x"]), (Some(1.0), repeated));
 }
 
 #[test]
-fn hear_limit_and_its_end() {
-    let mut gates = TargetSignals::default();
+fn record_notice_limit_and_its_end() {
+    let mut signals = TargetSignals::default();
     let t = "t".into();
-    let began = gates.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
+    let started = signals.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
     let limit = Rate::from_per_s(2.0).unwrap();
-    let before = None;
+    let previous = None;
+    assert_eq!(started, [Change::Limited { limit, previous }]);
+    assert_eq!(signals.limit("t", 100), Some(limit));
     assert_eq!(
-        began,
-        [Change::Limited {
-            limit,
-            previous: before
-        }]
-    );
-    assert_eq!(gates.limit("t", 100), Some(limit));
-    assert_eq!(
-        gates.record_notice(&t, &notice(Some(2.0)), Some(101), 110),
+        signals.record_notice(&t, &notice(Some(2.0)), Some(101), 110),
         []
     );
-    let ended = gates.record_notice(&t, &notice(None), Some(120), 130);
+    let ended = signals.record_notice(&t, &notice(None), Some(120), 130);
     assert_eq!(ended, [Change::Unlimited { after_ms: 30 }]);
-    assert_eq!(gates.limit("t", 130), None);
+    assert_eq!(signals.limit("t", 130), None);
 }
 
-/// Guards against an answer from before the limit that is read late and ends it.
+/// Guards against an answer from before the limit that is read late and lifts
+/// it.
 #[test]
-fn hear_late_answer_does_not_end_limit() {
-    let mut gates = TargetSignals::default();
+fn record_notice_late_answer_does_not_end_limit() {
+    let mut signals = TargetSignals::default();
     let t = "t".into();
-    gates.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
-    assert_eq!(gates.record_notice(&t, &notice(None), Some(95), 140), []);
+    signals.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
+    assert_eq!(signals.record_notice(&t, &notice(None), Some(95), 140), []);
     assert_eq!(
-        gates.record_notice(&t, &notice(Some(9.0)), Some(95), 140),
+        signals.record_notice(&t, &notice(Some(9.0)), Some(95), 140),
         []
     );
-    assert_eq!(gates.limit("t", 140), Rate::from_per_s(2.0));
-    gates.record_notice(&t, &notice(Some(1.0)), Some(95), 140);
-    assert_eq!(gates.limit("t", 140), Rate::from_per_s(1.0));
+    assert_eq!(signals.limit("t", 140), Rate::from_per_s(2.0));
+    signals.record_notice(&t, &notice(Some(1.0)), Some(95), 140);
+    assert_eq!(signals.limit("t", 140), Rate::from_per_s(1.0));
 }
 
-/// Guards against an order's answer that does not bear the limit and ends it.
+/// Guards against a command's answer that does not carry the limit and lifts
+/// it.
 #[test]
-fn hear_order_does_not_end_limit() {
-    let mut gates = TargetSignals::default();
+fn record_notice_command_answer_does_not_end_limit() {
+    let mut signals = TargetSignals::default();
     let t = "t".into();
-    gates.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
-    assert_eq!(gates.record_notice(&t, &notice(None), None, 140), []);
-    gates.record_notice(&t, &notice(Some(1.0)), None, 150);
-    assert_eq!(gates.limit("t", 150), Rate::from_per_s(1.0));
+    signals.record_notice(&t, &notice(Some(2.0)), Some(90), 100);
+    assert_eq!(signals.record_notice(&t, &notice(None), None, 140), []);
+    signals.record_notice(&t, &notice(Some(1.0)), None, 150);
+    assert_eq!(signals.limit("t", 150), Rate::from_per_s(1.0));
 }
 
-/// Guards against a word that binds another start at the same address.
+/// Guards against a limit that applies to another boot at the same address.
 #[test]
-fn hear_binds_one_start() {
-    let mut gates = TargetSignals::default();
-    gates.record_notice(&"t@1".into(), &notice(Some(2.0)), Some(90), 100);
-    assert_eq!(gates.limit("t@2", 100), None);
+fn record_notice_applies_to_one_boot() {
+    let mut signals = TargetSignals::default();
+    signals.record_notice(&"t@1".into(), &notice(Some(2.0)), Some(90), 100);
+    assert_eq!(signals.limit("t@2", 100), None);
 }
 
-/// Guards against a target that is shut out for good by its last word.
+/// Guards against a target that is excluded for good by its last notice.
 #[test]
-fn limit_is_forgotten_after_a_while() {
-    let mut gates = TargetSignals::default();
-    gates.record_notice(&"t".into(), &notice(Some(0.1)), Some(90), 100);
-    assert!(gates.limit("t", 59_000).is_some());
-    assert!(gates.limit("t", 61_000).is_none());
+fn limit_expires() {
+    let mut signals = TargetSignals::default();
+    signals.record_notice(&"t".into(), &notice(Some(0.1)), Some(90), 100);
+    assert!(signals.limit("t", 59_000).is_some());
+    assert!(signals.limit("t", 61_000).is_none());
 }
 
 #[test]
-fn told_newer_word_counts() {
-    let mut gates = TargetSignals::default();
+fn record_reported_limit_newer_counts() {
+    let mut signals = TargetSignals::default();
     let t = "t".into();
-    let word = |per_s: Option<f64>, heard| LimitReport {
+    let report = |per_s: Option<f64>, received_ms| LimitReport {
         limit: per_s.and_then(Rate::from_per_s),
-        received_ms: heard,
+        received_ms,
         direct: false,
     };
-    assert_eq!(gates.record_reported_limit(&t, word(None, 90), 100), None);
+    assert_eq!(
+        signals.record_reported_limit(&t, report(None, 90), 100),
+        None
+    );
     assert!(
-        gates
-            .record_reported_limit(&t, word(Some(2.0), 90), 100)
+        signals
+            .record_reported_limit(&t, report(Some(2.0), 90), 100)
             .is_some()
     );
-    // An older one, which comes late.
+    // An older report that arrives late.
     assert_eq!(
-        gates.record_reported_limit(&t, word(Some(9.0), 80), 110),
+        signals.record_reported_limit(&t, report(Some(9.0), 80), 110),
         None
     );
-    assert_eq!(gates.limit("t", 110), Rate::from_per_s(2.0));
+    assert_eq!(signals.limit("t", 110), Rate::from_per_s(2.0));
     assert!(
-        gates
-            .record_reported_limit(&t, word(None, 95), 120)
+        signals
+            .record_reported_limit(&t, report(None, 95), 120)
             .is_some()
     );
-    assert_eq!(gates.limit("t", 120), None);
+    assert_eq!(signals.limit("t", 120), None);
 }
 
-fn rest(values: &[&str]) -> (Option<u64>, Vec<Anomaly>) {
-    let mut odd = Vec::new();
-    let ms = parse_cooldown(values.iter().map(|v| v.as_bytes()), &mut odd);
-    (ms, odd)
+fn cooldown(values: &[&str]) -> (Option<u64>, Vec<Anomaly>) {
+    let mut anomalies = Vec::new();
+    let ms = parse_cooldown(values.iter().map(|v| v.as_bytes()), &mut anomalies);
+    (ms, anomalies)
 }
 
-/// Guards against odd rests that are passed over, panic, or shut a target out.
+/// Guards against invalid cooldowns that are ignored, panic, or exclude a
+/// target.
 #[test]
-fn read_rest_odd_values_are_safe() {
+fn parse_cooldown_invalid_values_are_safe() {
     use Anomaly::*;
-    assert_eq!(rest(&[]), (None, vec![]));
-    assert_eq!(rest(&["3"]), (Some(3_000), vec![]));
-    assert_eq!(rest(&["0.5"]), (Some(500), vec![]));
-    assert_eq!(rest(&["0"]), (None, vec![]));
-    assert_eq!(rest(&["-7"]), (None, vec![CooldownNegative]));
+    assert_eq!(cooldown(&[]), (None, vec![]));
+    assert_eq!(cooldown(&["3"]), (Some(3_000), vec![]));
+    assert_eq!(cooldown(&["0.5"]), (Some(500), vec![]));
+    assert_eq!(cooldown(&["0"]), (None, vec![]));
+    assert_eq!(cooldown(&["-7"]), (None, vec![CooldownNegative]));
     for text in ["", "soon", "NaN", "Wed, 21 Oct 2026 07:28:00 GMT"] {
         assert_eq!(
-            rest(&[text]),
+            cooldown(&[text]),
             (Some(3_000), vec![CooldownInvalid]),
             "{text}"
         );
     }
     for text in ["86400", "1e300", "inf"] {
         assert_eq!(
-            rest(&[text]),
+            cooldown(&[text]),
             (Some(300_000), vec![CooldownTooLong]),
             "{text}"
         );
     }
-    assert_eq!(rest(&["1", "2"]), (Some(2_000), vec![CooldownRepeated]));
+    assert_eq!(cooldown(&["1", "2"]), (Some(2_000), vec![CooldownRepeated]));
 }
 
-/// Guards against a leaving that is passed over, or read where there is none.
+/// Guards against a draining flag that is ignored, or read where there is none.
 #[test]
-fn read_leaving_odd_values_are_safe() {
+fn parse_draining_invalid_values_are_safe() {
     let read = |values: &[&str]| {
-        let (mut rest_ms, mut odd) = (None, Vec::new());
+        let (mut cooldown_ms, mut anomalies) = (None, Vec::new());
         let values = values.iter().map(|v| v.as_bytes());
-        let leaving = parse_draining(values, &mut rest_ms, &mut odd);
-        (leaving, rest_ms, odd)
+        let draining = parse_draining(values, &mut cooldown_ms, &mut anomalies);
+        (draining, cooldown_ms, anomalies)
     };
     assert_eq!(read(&[]), (false, None, vec![]));
     assert_eq!(read(&["1"]), (true, None, vec![]));
     assert_eq!(read(&["0"]), (false, None, vec![]));
     assert_eq!(read(&["0", "1"]), (true, None, vec![]));
-    let odd = vec![Anomaly::DrainingInvalid];
-    assert_eq!(read(&["perhaps"]), (false, Some(3_000), odd));
+    let anomalies = vec![Anomaly::DrainingInvalid];
+    assert_eq!(read(&["perhaps"]), (false, Some(3_000), anomalies));
 }
 
 #[test]
-fn hear_rest_ends_by_itself() {
-    let mut gates = TargetSignals::default();
+fn record_notice_cooldown_ends() {
+    let mut signals = TargetSignals::default();
     let t = "t".into();
-    let asks = |ms| Notice {
+    let cooldown_notice = |ms| Notice {
         cooldown_ms: Some(ms),
         ..Notice::default()
     };
-    let began = gates.record_notice(&t, &asks(300), Some(90), 100);
-    assert_eq!(began, [Change::CooldownStarted { cooldown_ms: 300 }]);
-    // A shorter one, and answers that say nothing, do not end it.
-    assert_eq!(gates.record_notice(&t, &asks(50), Some(90), 110), []);
+    let started = signals.record_notice(&t, &cooldown_notice(300), Some(90), 100);
+    assert_eq!(started, [Change::CooldownStarted { cooldown_ms: 300 }]);
+    // A shorter one, and answers without signals, do not end it.
     assert_eq!(
-        gates.record_notice(&t, &Notice::default(), Some(120), 130),
+        signals.record_notice(&t, &cooldown_notice(50), Some(90), 110),
         []
     );
-    assert_eq!(gates.cooldown_ms("t", 130), 270);
-    assert_eq!(gates.expire(399), []);
-    assert_eq!(gates.expire(400), [("t".into(), Change::CooldownEnded)]);
-    assert_eq!(gates.cooldown_ms("t", 400), 0);
-    assert!(gates.is_empty());
+    assert_eq!(
+        signals.record_notice(&t, &Notice::default(), Some(120), 130),
+        []
+    );
+    assert_eq!(signals.cooldown_ms("t", 130), 270);
+    assert_eq!(signals.expire(399), []);
+    assert_eq!(signals.expire(400), [("t".into(), Change::CooldownEnded)]);
+    assert_eq!(signals.cooldown_ms("t", 400), 0);
+    assert!(signals.is_empty());
 }
 
-/// Guards against a target that leaves and is sent to again since another of
-/// its answers, read late, does not say so.
+/// Guards against requests to a draining target after another of its answers,
+/// read late, does not carry the flag.
 #[test]
-fn hear_leaving_is_final() {
-    let mut gates = TargetSignals::default();
+fn record_notice_draining_is_final() {
+    let mut signals = TargetSignals::default();
     let t = "t@1".into();
-    let leaves = Notice {
+    let draining_notice = Notice {
         draining: true,
         ..Notice::default()
     };
     assert_eq!(
-        gates.record_notice(&t, &leaves, Some(90), 100),
+        signals.record_notice(&t, &draining_notice, Some(90), 100),
         [Change::Draining]
     );
-    assert_eq!(gates.record_notice(&t, &leaves, Some(91), 101), []);
     assert_eq!(
-        gates.record_notice(&t, &Notice::default(), Some(120), 130),
+        signals.record_notice(&t, &draining_notice, Some(91), 101),
+        []
+    );
+    assert_eq!(
+        signals.record_notice(&t, &Notice::default(), Some(120), 130),
         []
     );
-    assert_eq!(gates.expire(100_000), []);
-    assert!(gates.is_draining("t@1", 100_000));
-    assert!(!gates.is_draining("t@2", 100_000));
+    assert_eq!(signals.expire(100_000), []);
+    assert!(signals.is_draining("t@1", 100_000));
+    assert!(!signals.is_draining("t@2", 100_000));
 }
--- a/crates/comfreyhall-backpressure/tests/model.rs
+++ b/crates/comfreyhall-backpressure/tests/model.rs
@@ -1,27 +1,30 @@
-//! Daemons and a target whose answers come late, in any order, or never.
+//! Model test of daemons and a target whose answers arrive late, in any order,
+//! or never.
 //!
-//! The target names limits that change, asks single daemons for rest, and in the
-//! end leaves; daemons freeze and restart. Each daemon asks its gates before each
-//! send, and what the target got is held against what it had told.
+//! The target reports limits that change, asks single daemons for a cooldown,
+//! and in the end drains; daemons freeze and restart. Each daemon checks its
+//! signals before each send, and what the target receives is compared with what
+//! it had reported.
 
 use comfreyhall_backpressure::{Notice, Rate, TargetSignals};
 use proptest::prelude::*;
 
 const DAEMONS: usize = 4;
 
-/// What happens next.
+/// One step of a run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// So many ms go by.
-    Pass(u64),
-    /// A daemon sends, if it may; the answer takes so long, or is lost.
+    /// This many ms go by.
+    Wait(u64),
+    /// A daemon sends, if it may; the answer takes this long, or is lost.
     Send(usize, Option<u64>),
-    /// The target names another limit, in tenths a second, or none.
+    /// The target reports another limit, in tenths of a request a second, or
+    /// none.
     Limit(Option<u8>),
-    /// The target turns the next request away and asks its daemon for rest.
-    Rest(u64),
-    Leave,
-    /// A daemon reads nothing for so long.
+    /// The target rejects the next request and asks its daemon for a cooldown.
+    Cooldown(u64),
+    Drain,
+    /// A daemon reads nothing for this long.
     Freeze(usize, u64),
     Restart(usize),
 }
@@ -29,12 +32,12 @@
 fn step() -> impl Strategy<Value = Step> {
     let daemon = || 0..DAEMONS;
     prop_oneof![
-        6 => (1u64..400).prop_map(Step::Pass),
+        6 => (1u64..400).prop_map(Step::Wait),
         12 => (daemon(), prop::option::weighted(0.9, 0u64..900))
             .prop_map(|(d, ms)| Step::Send(d, ms)),
         2 => prop::option::of(1u8..200).prop_map(Step::Limit),
-        2 => (100u64..3_000).prop_map(Step::Rest),
-        1 => Just(Step::Leave),
+        2 => (100u64..3_000).prop_map(Step::Cooldown),
+        1 => Just(Step::Drain),
         1 => (daemon(), 100u64..3_000).prop_map(|(d, ms)| Step::Freeze(d, ms)),
         1 => daemon().prop_map(Step::Restart),
     ]
@@ -51,26 +54,26 @@
 
 #[derive(Default)]
 struct Daemon {
-    gates: TargetSignals,
+    signals: TargetSignals,
     boot: u64,
     frozen_until: u64,
-    /// Until when it was told, and has read, to leave the target alone.
-    rest_until: u64,
-    told_leaving: bool,
+    /// End of the longest cooldown that it has read.
+    cooldown_end_ms: u64,
+    told_draining: bool,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: u64,
     daemons: [Daemon; DAEMONS],
     answers: Vec<Answer>,
     limit: Option<Rate>,
-    rest_ms: Option<u64>,
-    leaving: bool,
+    cooldown_ms: Option<u64>,
+    draining: bool,
 }
 
-impl World {
-    /// Daemons read what has arrived; the order among it is that of sending.
+impl Simulation {
+    /// Daemons read the answers that have arrived, in the order of sending.
     fn read(&mut self) {
         let now = self.now;
         let daemons = &mut self.daemons;
@@ -84,38 +87,39 @@
             }
             let sent = Some(answer.sent);
             daemon
-                .gates
+                .signals
                 .record_notice(&"t".into(), &answer.notice, sent, now);
             if let Some(ms) = answer.notice.cooldown_ms {
-                daemon.rest_until = daemon.rest_until.max(now + ms);
+                daemon.cooldown_end_ms = daemon.cooldown_end_ms.max(now + ms);
             }
-            daemon.told_leaving |= answer.notice.draining;
+            daemon.told_draining |= answer.notice.draining;
             false
         });
     }
 
-    /// Whether the daemon `at` sends; what the target had told it is checked.
-    fn send(&mut self, at: usize, answer_ms: Option<u64>) -> Result<(), TestCaseError> {
+    /// The daemon `index` sends if it may; fails if the target had asked it not
+    /// to.
+    fn send(&mut self, index: usize, answer_ms: Option<u64>) -> Result<(), TestCaseError> {
         let now = self.now;
-        let daemon = &self.daemons[at];
+        let daemon = &self.daemons[index];
         if now < daemon.frozen_until {
             return Ok(());
         }
-        let rests = daemon.gates.cooldown_ms("t", now) > 0;
-        if rests || daemon.gates.is_draining("t", now) {
+        let cooling_down = daemon.signals.cooldown_ms("t", now) > 0;
+        if cooling_down || daemon.signals.is_draining("t", now) {
             return Ok(());
         }
-        prop_assert!(now >= daemon.rest_until, "sent within a rest");
-        prop_assert!(!daemon.told_leaving, "sent to one that leaves");
+        prop_assert!(now >= daemon.cooldown_end_ms, "sent within a cooldown");
+        prop_assert!(!daemon.told_draining, "sent to a draining target");
         let notice = Notice {
             limit: self.limit,
-            cooldown_ms: self.rest_ms.take(),
-            draining: self.leaving,
+            cooldown_ms: self.cooldown_ms.take(),
+            draining: self.draining,
             ..Notice::default()
         };
         if let Some(ms) = answer_ms {
             self.answers.push(Answer {
-                daemon: at,
+                daemon: index,
                 boot: daemon.boot,
                 sent: now,
                 arrives: now + ms,
@@ -127,17 +131,17 @@
 
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Pass(ms) => self.now += ms,
-            Step::Send(at, ms) => self.send(at, ms)?,
+            Step::Wait(ms) => self.now += ms,
+            Step::Send(index, ms) => self.send(index, ms)?,
             Step::Limit(tenths) => {
                 self.limit = tenths.and_then(|t| Rate::from_per_s(f64::from(t) / 10.0));
             }
-            Step::Rest(ms) => self.rest_ms = Some(ms),
-            Step::Leave => self.leaving = true,
-            Step::Freeze(at, ms) => self.daemons[at].frozen_until = self.now + ms,
-            Step::Restart(at) => {
-                let boot = self.daemons[at].boot + 1;
-                self.daemons[at] = Daemon {
+            Step::Cooldown(ms) => self.cooldown_ms = Some(ms),
+            Step::Drain => self.draining = true,
+            Step::Freeze(index, ms) => self.daemons[index].frozen_until = self.now + ms,
+            Step::Restart(index) => {
+                let boot = self.daemons[index].boot + 1;
+                self.daemons[index] = Daemon {
                     boot,
                     ..Daemon::default()
                 };
@@ -156,28 +160,30 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against sends within a rest or to one that leaves, and against a
-    /// limit that is not the last one, in whatever order answers are read.
+    /// Guards against sends within a cooldown or to a draining target, and
+    /// against a limit that is not the last one, in whatever order answers are
+    /// read.
     #[test]
-    fn gates_keep_what_was_told(steps in prop::collection::vec(step(), 10..120)) {
-        let mut world = World::default();
+    fn target_signals_match_last_notice(steps in prop::collection::vec(step(), 10..120)) {
+        let mut simulation = Simulation::default();
         for step in &steps {
-            world.step(step)?;
+            simulation.step(step)?;
         }
-        // The target is quiet; each daemon that may send hears the last word.
-        world.rest_ms = None;
-        world.now += 10_000;
-        world.read();
-        // What was read just now may have asked for rest.
-        world.now += 10_000;
-        let limit = world.limit;
-        for at in 0..DAEMONS {
-            world.send(at, Some(1))?;
+        // The target is idle; each daemon that may send receives the last
+        // notice.
+        simulation.cooldown_ms = None;
+        simulation.now += 10_000;
+        simulation.read();
+        // What was read just now may have asked for a cooldown.
+        simulation.now += 10_000;
+        let limit = simulation.limit;
+        for index in 0..DAEMONS {
+            simulation.send(index, Some(1))?;
         }
-        world.now += 1;
-        world.read();
-        for daemon in world.daemons.iter().filter(|d| !d.told_leaving) {
-            prop_assert_eq!(daemon.gates.limit("t", world.now), limit);
+        simulation.now += 1;
+        simulation.read();
+        for daemon in simulation.daemons.iter().filter(|d| !d.told_draining) {
+            prop_assert_eq!(daemon.signals.limit("t", simulation.now), limit);
         }
     }
 }
--- a/crates/comfreyhall-placement/src/ceiling.rs
+++ b/crates/comfreyhall-placement/src/ceiling.rs
@@ -1,34 +1,40 @@
-//! How many model loads may begin, so that the weight store is not overrun.
+//! Limits how many model loads may start, so that the weight store is not
+//! overloaded.
 //!
-//! When many engines restart empty at once, each wants its model back. The
+//! When many engines restart empty at once, each needs its model again. The
 //! weight store allows a number of loads a second over all engines; beyond it
-//! every load is slower, adapters that requests wait for included. Each
-//! holder of leases keeps to its part of that rate.
+//! every load is slower, including those of adapters that requests wait for.
+//! Each lease holder keeps to its share of that rate.
 
 use std::collections::VecDeque;
 
-/// Time over which loads are counted, in ms.
+/// Window over which loads are counted.
 const WINDOW_MS: u64 = 5_000;
 
-/// Loads of one holder that have begun lately.
+/// Loads that one lease holder has started recently.
 #[derive(Debug, Default)]
 pub struct LoadRateLimit {
-    begun: VecDeque<u64>,
+    starts: VecDeque<u64>,
 }
 
 impl LoadRateLimit {
     /// Takes a load out of the allowance; false if it has to wait.
     ///
-    /// `rate`: loads a second over all engines. `part`: this holder's part of
-    /// the engines, 0 to 1. At least one load a window is allowed.
-    pub fn try_start(&mut self, rate: f64, part: f64, now: u64) -> bool {
-        while self.begun.front().is_some_and(|at| now >= at + WINDOW_MS) {
-            self.begun.pop_front();
+    /// `rate` is the loads a second over all engines, `share` this lease
+    /// holder's share of the engines, 0 to 1. At least one load a window is
+    /// allowed.
+    pub fn try_start(&mut self, rate: f64, share: f64, now: u64) -> bool {
+        while self
+            .starts
+            .front()
+            .is_some_and(|start| now >= start + WINDOW_MS)
+        {
+            self.starts.pop_front();
         }
-        let most = (rate * part * WINDOW_MS as f64 / 1_000.0).floor().max(1.0);
-        let granted = (self.begun.len() as f64) < most;
+        let max = (rate * share * WINDOW_MS as f64 / 1_000.0).floor().max(1.0);
+        let granted = (self.starts.len() as f64) < max;
         if granted {
-            self.begun.push_back(now);
+            self.starts.push_back(now);
         }
         granted
     }
--- a/crates/comfreyhall-placement/src/demand.rs
+++ b/crates/comfreyhall-placement/src/demand.rs
@@ -1,16 +1,16 @@
-//! Decayed request counts by adapter: how much each is wanted.
+//! Decayed request counts by adapter.
 
 use std::sync::Arc;
 
 use comfreyhall_protocol::Map;
 
-/// Silences, in mean gaps between requests, after which an adapter's score is
-/// what its silence allows. Popularity moves on without notice: an adapter
-/// asked for ten times a second keeps a decayed count above that of any rare
-/// one for seven half-lives after its last request, and held several places
-/// all that time. Three mean gaps without a request happen by chance once in
-/// twenty times, and then cost one reload.
-const SILENT_GAPS: f64 = 3.0;
+/// Idle time, in mean gaps between requests, after which the idle time bounds
+/// an adapter's score. Popularity changes without notice: an adapter requested
+/// ten times a second keeps a decayed count above that of any rare one for
+/// seven half-lives after its last request, and held several slots all that
+/// time. Three mean gaps without a request happen by chance once in twenty
+/// times, and then cost one reload.
+const MAX_IDLE_GAPS: f64 = 3.0;
 
 /// A request count that halves every half-life.
 #[derive(Debug, Clone, Copy)]
@@ -19,7 +19,7 @@
     at_ms: u64,
 }
 
-/// Request counts that forget.
+/// Exponentially decayed request counts by key.
 #[derive(Debug)]
 pub struct Demand {
     half_life_ms: f64,
@@ -27,7 +27,7 @@
 }
 
 impl Demand {
-    /// Counts that halve every `half_life_ms`.
+    /// Creates counts that halve every `half_life_ms`.
     pub fn new(half_life_ms: u64) -> Self {
         Self {
             half_life_ms: half_life_ms.max(1) as f64,
@@ -35,18 +35,18 @@
         }
     }
 
-    /// How much `key` is wanted at `now_ms`: its decayed request count, or
-    /// less if it has been silent for longer than that count lets expect.
+    /// The decayed request count of `key` at `now_ms`, or less if `key` has
+    /// been idle for longer than that count makes likely.
     pub fn score(&self, key: &str, now_ms: u64) -> f64 {
         let Some(rate) = self.rates.get(key) else {
             return 0.0;
         };
         let idle = now_ms.saturating_sub(rate.at_ms) as f64;
-        let silence = SILENT_GAPS * self.half_life_ms / std::f64::consts::LN_2 / idle.max(1.0);
-        self.count(key, now_ms).min(silence)
+        let idle_bound = MAX_IDLE_GAPS * self.half_life_ms / std::f64::consts::LN_2 / idle.max(1.0);
+        self.count(key, now_ms).min(idle_bound)
     }
 
-    /// What is left at `now_ms` of the requests for `key`.
+    /// The decayed request count of `key` at `now_ms`.
     fn count(&self, key: &str, now_ms: u64) -> f64 {
         self.rates.get(key).map_or(0.0, |r| {
             let age = now_ms.saturating_sub(r.at_ms) as f64;
@@ -54,17 +54,17 @@
         })
     }
 
-    /// Requests a second for `key`, over about a half-life.
+    /// Requests a second for `key`, averaged over about a half-life.
     pub fn rate(&self, key: &str, now_ms: u64) -> f64 {
         self.count(key, now_ms) * self.per_s()
     }
 
-    /// Requests a second for each request that is counted.
+    /// Converts a decayed count into requests a second.
     fn per_s(&self) -> f64 {
         1_000.0 * std::f64::consts::LN_2 / self.half_life_ms
     }
 
-    /// Counts `requests` more for `key`; returns its score.
+    /// Adds `requests` for `key`; returns its decayed count.
     pub fn record(&mut self, key: &str, requests: u32, now_ms: u64) -> f64 {
         let value = self.count(key, now_ms) + f64::from(requests);
         let rate = Rate {
@@ -75,19 +75,19 @@
         value
     }
 
-    /// Requests a second for each key, over about a half-life.
+    /// Requests a second for each key, averaged over about a half-life.
     pub fn rates(&self, now_ms: u64) -> impl Iterator<Item = (Arc<str>, f64)> {
         let per_s = self.per_s();
         let keys = self.rates.keys();
         keys.map(move |key| (key.clone(), self.count(key, now_ms) * per_s))
     }
 
-    /// Forgets keys whose score fell below `least`, to bound memory.
-    pub fn prune(&mut self, least: f64, now_ms: u64) {
+    /// Drops keys whose decayed count fell below `min_count`, to bound memory.
+    pub fn prune(&mut self, min_count: f64, now_ms: u64) {
         let half_life = self.half_life_ms;
         self.rates.retain(|_, r| {
             let age = now_ms.saturating_sub(r.at_ms) as f64;
-            r.value * (-age / half_life).exp2() >= least
+            r.value * (-age / half_life).exp2() >= min_count
         });
     }
 }
--- a/crates/comfreyhall-placement/src/frequency.rs
+++ b/crates/comfreyhall-placement/src/frequency.rs
@@ -1,4 +1,5 @@
-//! The frequency policy: decayed request rates decide residency.
+//! The frequency policy: decayed request rates decide which adapters stay
+//! resident.
 
 use std::sync::Arc;
 
@@ -6,16 +7,16 @@
 
 use crate::{Decision, Demand, EngineView, Policy};
 
-/// The cost of taking a free slot: below any score, which is at least 0.
-const FREE_SLOT: f64 = -1.0;
+/// Cost of a free slot: below any score, which is at least 0.
+const FREE_SLOT_COST: f64 = -1.0;
 
 /// One slot in this many may hold a copy beyond an adapter's first.
 ///
-/// Copies in every slot that happens to be free are there for good: a hot
-/// adapter's copy outranks the last copy of any cold one, so cold adapters
-/// then push each other out, and each pays for it with a load. With 40
-/// adapters in 48 slots that stalled 3% of answers for as long as it ran.
-const SLOTS_PER_SPARE: u32 = 10;
+/// Copies in every slot that happens to be free would stay for good: a hot
+/// adapter's copy outranks the last copy of any cold one, so cold adapters then
+/// evict each other, and each pays for it with a load. With 40 adapters in 48
+/// slots that stalled 3% of answers for as long as it ran.
+const SLOTS_PER_SPARE_COPY: u32 = 10;
 
 /// Keeps hot adapters resident and copies them when their engines saturate.
 ///
@@ -28,20 +29,20 @@
 }
 
 impl FrequencyPolicy {
-    /// A policy whose rates halve every `half_life_ms`.
+    /// Creates a policy whose rates halve every `half_life_ms`.
     pub fn new(half_life_ms: u64) -> Self {
         Self {
             demand: Demand::new(half_life_ms),
         }
     }
 
-    /// The cheapest slot to give up on `engine`, as (score, victims).
+    /// The cheapest slot to evict on `engine`, as (score, victims).
     ///
-    /// A free slot costs less than any victim, even one never asked for;
-    /// `None` when no slot may go. With `spare_only`, only slots whose
-    /// adapter has a copy on another engine may go: a second copy of a hot
-    /// adapter must never push out the last copy of another.
-    fn cost(
+    /// A free slot costs less than any victim, even one never requested; `None`
+    /// when no slot may be evicted. With `spare_only`, only slots whose adapter
+    /// has a copy on another engine may be evicted: a second copy of a hot
+    /// adapter must never evict the last copy of another.
+    fn eviction_cost(
         &self,
         engine: &EngineView,
         copies: &Map<Arc<str>, u32>,
@@ -58,28 +59,28 @@
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
         let keys = victims.iter().map(|v| v.1.clone()).collect();
         if engine.has_free() {
-            return Some((FREE_SLOT, keys));
+            return Some((FREE_SLOT_COST, keys));
         }
         victims.first().map(|v| (v.0, keys))
     }
 }
 
-/// How many engines that are up hold each adapter version.
-fn copies(engines: &[EngineView]) -> Map<Arc<str>, u32> {
-    let mut out: Map<Arc<str>, u32> = Map::default();
+/// How many available engines hold each adapter version.
+fn copy_counts(engines: &[EngineView]) -> Map<Arc<str>, u32> {
+    let mut counts: Map<Arc<str>, u32> = Map::default();
     for s in engines.iter().filter(|e| e.up).flat_map(|e| &e.slots) {
-        *out.entry(s.key.clone()).or_default() += 1;
+        *counts.entry(s.key.clone()).or_default() += 1;
     }
-    out
+    counts
 }
 
-/// How many slots hold copies beyond the first.
-fn spares(copies: &Map<Arc<str>, u32>) -> u32 {
+/// Number of slots that hold copies beyond the first.
+fn spare_copies(copies: &Map<Arc<str>, u32>) -> u32 {
     copies.values().map(|c| c - 1).sum()
 }
 
-/// How many slots there are on engines that are up.
-fn slots(engines: &[EngineView]) -> u32 {
+/// Number of slots on available engines.
+fn slot_count(engines: &[EngineView]) -> u32 {
     let up = engines.iter().filter(|e| e.up);
     up.map(|e| e.capacity).sum()
 }
@@ -103,19 +104,20 @@
             return Decision::Run { engine: i };
         }
         // Copies share the weight store with loads that requests wait for.
-        // Ordered while such a load was on its way, they delayed it: with 40
+        // Copies made while such a load was in progress delayed it: with 40
         // adapters in 48 slots the policy served half of what LRU did.
         if let Some(engine) = resident
             && engines.iter().any(EngineView::loading)
         {
             return Decision::Run { engine };
         }
-        let copies = copies(engines);
+        let copies = copy_counts(engines);
         // At the bound no copy is made, not even in place of another: copies
-        // that took turns kept the weight store busy for good, and stalled
-        // more than no bound at all (357 s against 134 s in 20 s of load).
+        // that replaced each other kept the weight store busy for good, and
+        // stalled more than no bound at all (357 s against 134 s in 20 s of
+        // load).
         if let Some(engine) = resident
-            && spares(&copies) * SLOTS_PER_SPARE >= slots(engines)
+            && spare_copies(&copies) * SLOTS_PER_SPARE_COPY >= slot_count(engines)
         {
             return Decision::Run { engine };
         }
@@ -125,7 +127,7 @@
             .enumerate()
             .filter(|(_, e)| e.up && !e.holds(key))
             .filter_map(|(i, e)| {
-                let cost = self.cost(e, &copies, spare_only, now_ms)?;
+                let cost = self.eviction_cost(e, &copies, spare_only, now_ms)?;
                 Some((i, cost, e.requests))
             })
             .min_by(|a, b| a.1.0.total_cmp(&b.1.0).then(a.2.cmp(&b.2)));
--- a/crates/comfreyhall-placement/src/lru.rs
+++ b/crates/comfreyhall-placement/src/lru.rs
@@ -9,22 +9,22 @@
 /// Loads on demand and evicts the least recently used slot; never copies.
 #[derive(Default)]
 pub struct LruPolicy {
-    used: Map<Arc<str>, u64>,
+    last_used_ms: Map<Arc<str>, u64>,
 }
 
 impl LruPolicy {
-    fn last(&self, key: &str) -> u64 {
-        self.used.get(key).copied().unwrap_or(0)
+    fn last_used(&self, key: &str) -> u64 {
+        self.last_used_ms.get(key).copied().unwrap_or(0)
     }
 }
 
 impl Policy for LruPolicy {
     fn record_requests(&mut self, key: &str, _: u32, now_ms: u64) {
-        self.used.insert(key.into(), now_ms);
+        self.last_used_ms.insert(key.into(), now_ms);
     }
 
     fn route(&mut self, key: &str, engines: &[EngineView], now_ms: u64) -> Decision {
-        self.used.insert(key.into(), now_ms);
+        self.last_used_ms.insert(key.into(), now_ms);
         let resident = engines
             .iter()
             .enumerate()
@@ -41,11 +41,11 @@
                 .filter(|s| s.evictable())
                 .map(|s| s.key.clone())
                 .collect();
-            victims.sort_by_key(|k| self.last(k));
+            victims.sort_by_key(|k| self.last_used(k));
             let age = if e.has_free() {
                 0
             } else if let Some(v) = victims.first() {
-                self.last(v).max(1)
+                self.last_used(v).max(1)
             } else {
                 continue;
             };
--- a/crates/comfreyhall-placement/src/queue.rs
+++ b/crates/comfreyhall-placement/src/queue.rs
@@ -1,25 +1,24 @@
-//! In which order requests that wait for a place get one.
+//! The order in which queued requests get a slot.
 //!
-//! The load answered here is a burst of rare adapters: more requests want a
-//! place than places fall free, and the queue grows. Served in order of
-//! arrival, every request then waits past its latency objective, and none
-//! gets what it was promised. So those that can still meet their objective
-//! go first, by rank and then by arrival; those that cannot any more are
-//! served with what is left.
+//! In a burst of rare adapters, more requests need a slot than slots become
+//! free, and the queue grows. Served in order of arrival, every request then
+//! waits past its latency objective, and none meets it. So requests that can
+//! still meet their objective go first, by priority and then by arrival; those
+//! that no longer can are served with what is left.
 
-/// One request that waits for a place.
+/// A request that waits for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Rank of its route; 0 first.
+    /// Priority of its route; 0 is served first.
     pub priority: u32,
-    /// When it came, in ms.
+    /// When it arrived.
     pub arrived_ms: u64,
-    /// Until when a load must begin for it to meet its objective, in ms.
+    /// When a load must start at the latest to meet the latency objective.
     pub start_by_ms: u64,
 }
 
 impl QueuedRequest {
-    /// Sorts the next to be served first.
+    /// Sort key; the lowest is served first.
     pub fn sort_key(&self, now: u64) -> (bool, u32, u64) {
         (now > self.start_by_ms, self.priority, self.arrived_ms)
     }
--- a/crates/comfreyhall-placement/src/tests.rs
+++ b/crates/comfreyhall-placement/src/tests.rs
@@ -48,10 +48,9 @@
 
 #[test]
 fn route_keeps_hot_adapter() {
-    // Symptom: a one-off request evicted the adapter that served most traffic.
-    // Sequence: "hot" is asked for often, then a rare adapter arrives while
-    // both slots are full. Cause: recency alone ranks the hot adapter below a
-    // slot touched a moment later. The frequency policy ranks by decayed rate.
+    // Guards against a one-off request that evicts the adapter with most
+    // traffic: recency alone ranks a hot adapter below a slot that was used a
+    // moment later. The frequency policy ranks by decayed rate.
     let view = [engine("e1", &[("hot@1", 0), ("warm@1", 0)], 0)];
     let mut policy = FrequencyPolicy::new(60_000);
     for t in 0..20 {
@@ -65,12 +64,11 @@
 }
 
 #[test]
-fn route_counts_noted_requests() {
-    // Symptom: with 3,000 adapters, hot ones were evicted and loaded again.
-    // Sequence: one daemon orders loads for all; requests that the others
-    // serve from resident adapters never reach it, so it ranks those
-    // adapters as cold and names them as victims. Cause: it knew only its
-    // own share of the demand. The others now report theirs.
+fn route_counts_reported_requests() {
+    // Guards against hot adapters that are evicted and loaded again, as
+    // happened with 3,000 adapters: one daemon orders loads for all, and
+    // requests that the others serve from resident adapters never reach it, so
+    // it knew only its own share of the demand. The others report theirs.
     let view = [engine("e1", &[("hot@1", 0), ("warm@1", 0)], 0)];
     for mut policy in [
         build_policy(PolicyKind::Frequency, 60_000),
@@ -102,12 +100,10 @@
 
 #[test]
 fn route_copy_spares_last_copy() {
-    // Symptom: with 12 adapters in 48 slots, 13.6% of answers still waited
-    // for a load. Sequence: a hot adapter's engine saturates; the policy
-    // makes a copy elsewhere and evicts the lowest-scored slot there, the
-    // only copy of a colder adapter, which the next request must reload.
-    // Cause: copies could evict last copies. A copy may now only take a
-    // free slot or a slot whose adapter is resident elsewhere too.
+    // Guards against copies that evict the last copy of a colder adapter, which
+    // the next request must reload: with 12 adapters in 48 slots, 13.6% of
+    // answers still waited for a load. A copy may only take a free slot or a
+    // slot whose adapter is resident elsewhere too.
     let mut view = vec![
         engine("e1", &[("hot@1", 0), ("cold@1", 0)], 4),
         engine("e2", &[("cold2@1", 0), ("other@1", 0)], 0),
@@ -137,11 +133,10 @@
 
 #[test]
 fn route_copy_waits_for_loads() {
-    // Symptom: with 40 adapters in 48 slots the frequency policy answered
-    // 559 requests where LRU answered 1,065. Sequence: hot adapters fill
-    // their engines while most adapters are still cold; each daemon orders
-    // copies, and the weight store serves them in turn with the first loads
-    // that requests wait for. Cause: copies did not yield to loads.
+    // Guards against copies that delay loads: with 40 adapters in 48 slots the
+    // frequency policy answered 559 requests where LRU answered 1,065, because
+    // the weight store served copies of hot adapters in turn with the first
+    // loads that requests waited for.
     let mut view = [
         engine("e1", &[("hot@1", 4)], 4),
         engine("e2", &[], 0),
@@ -157,10 +152,10 @@
 
 #[test]
 fn route_copies_leave_room() {
-    // Symptom: with 40 adapters in 48 slots, 2.9% of answers stalled for as
-    // long as the load lasted, where LRU had none. Sequence: copies of hot
-    // adapters fill the free slots before every adapter has been asked for;
-    // cold ones then push each other out. Cause: nothing bounded copies.
+    // Guards against unbounded copies: with 40 adapters in 48 slots, 2.9% of
+    // answers stalled for as long as the load lasted, where LRU had none,
+    // because copies of hot adapters filled the free slots and cold adapters
+    // then evicted each other.
     let mut view: Vec<EngineView> = (0..10).map(|_| engine("e", &[], 4)).collect();
     for e in &mut view[..3] {
         e.slots.push(SlotView {
@@ -222,11 +217,11 @@
     #[test]
     fn route_never_names_pinned_victim(
         view in arb_view(),
-        asks in proptest::collection::vec(0u8..8, 1..30),
+        requested in proptest::collection::vec(0u8..8, 1..30),
         lru in any::<bool>(),
     ) {
         let mut policy = build_policy(if lru { PolicyKind::Lru } else { PolicyKind::Frequency }, 500);
-        for (t, k) in asks.iter().enumerate() {
+        for (t, k) in requested.iter().enumerate() {
             let key = format!("a{k}@1");
             match policy.route(&key, &view, t as u64 * 10) {
                 Decision::Run { engine } => {
@@ -256,7 +251,11 @@
     }
 }
 
-fn occupant(key: &'static str, score: f64, pins: u32) -> crate::EvictionCandidate<&'static str> {
+fn eviction_candidate(
+    key: &'static str,
+    score: f64,
+    pins: u32,
+) -> crate::EvictionCandidate<&'static str> {
     crate::EvictionCandidate {
         key,
         score,
@@ -267,26 +266,26 @@
 }
 
 #[test]
-fn victim_least_wanted_unused() {
+fn select_victim_lowest_score_unpinned() {
     let all = [
-        occupant("hot", 9.0, 0),
-        occupant("used", 1.0, 1),
-        occupant("warm", 2.0, 0),
+        eviction_candidate("hot", 9.0, 0),
+        eviction_candidate("used", 1.0, 1),
+        eviction_candidate("warm", 2.0, 0),
     ];
     assert_eq!(crate::select_victim(&all).unwrap().key, "warm");
     assert!(crate::select_victim(&all[1..2]).is_none());
 }
 
-/// Symptom: in a burst nearly every stream began late. Events: more requests
-/// want places than fall free; each waits its turn past its objective.
-/// Cause: places went out in order of arrival. With one place every 100 ms
-/// and a request every 50 ms for 4 s, in order of arrival 19 of 80 requests
-/// begin within 900 ms; with those in time first 49 do.
+/// Guards against a burst in which nearly every stream starts late, because
+/// slots are given out in order of arrival and each request waits past its
+/// objective. With one slot every 100 ms and a request every 50 ms for 4 s, in
+/// order of arrival 19 of 80 requests begin within 900 ms; with those in time
+/// first 49 do.
 #[test]
-fn rank_burst_in_time_first() {
-    let serve = |by: fn(&crate::QueuedRequest, u64) -> (bool, u32, u64)| {
+fn sort_key_burst_in_time_first() {
+    let count_in_time = |by: fn(&crate::QueuedRequest, u64) -> (bool, u32, u64)| {
         let mut queue: Vec<crate::QueuedRequest> = Vec::new();
-        let mut met = 0;
+        let mut in_time = 0;
         for now in (0..8_000).step_by(50) {
             if now < 4_000 {
                 queue.push(crate::QueuedRequest {
@@ -297,22 +296,22 @@
             }
             if now % 100 == 0 && !queue.is_empty() {
                 queue.sort_by_key(|w| by(w, now));
-                met += usize::from(queue.remove(0).start_by_ms >= now);
+                in_time += usize::from(queue.remove(0).start_by_ms >= now);
             }
         }
-        met
+        in_time
     };
-    let by_arrival = serve(|w, _| (false, 0, w.arrived_ms));
-    let in_time_first = serve(|w, now| w.sort_key(now));
+    let by_arrival = count_in_time(|w, _| (false, 0, w.arrived_ms));
+    let in_time_first = count_in_time(|w, now| w.sort_key(now));
     assert_eq!((by_arrival, in_time_first), (19, 49));
 }
 
-/// Symptom: after popularity moved on, rare adapters queued for places while
-/// engines held several copies of an adapter nobody asked for. Events: an
-/// adapter is asked for ten times a second, then not at all. Cause: its
-/// decayed count stayed above that of newcomers for 40 s.
+/// Guards against adapters that keep their slots after popularity has moved on:
+/// the decayed count of an adapter that had been requested ten times a second,
+/// and then not at all, stayed above that of new ones for 40 s, while rare
+/// adapters queued for slots.
 #[test]
-fn score_silence_ends_popularity() {
+fn score_idle_adapter_drops() {
     let mut demand = crate::Demand::new(6_000);
     for at in (0..10_000).step_by(100) {
         demand.record("hot", 1, at);
@@ -323,33 +322,33 @@
     assert!(demand.score("hot", 36_000) < 1.0);
 }
 
-/// Plays a store that serves `at_once` loads at full speed for `daemons`
-/// daemons that always want more; returns the mean load time in ms and the
-/// loads a second.
-fn play_store(at_once: f64, daemons: usize, fixed: Option<u32>) -> (f64, f64) {
-    play_store_in(at_once, daemons, fixed, 10_000..30_000)
+/// Simulates a store that serves `at_once` loads at full speed, for `daemons`
+/// that always want more; returns the mean load duration in ms and the loads a
+/// second.
+fn simulate_store(at_once: f64, daemons: usize, fixed: Option<u32>) -> (f64, f64) {
+    simulate_store_during(at_once, daemons, fixed, 10_000..30_000)
 }
 
 /// The same in `span` (ms since the start).
-fn play_store_in(
+fn simulate_store_during(
     at_once: f64,
     daemons: usize,
     fixed: Option<u32>,
     span: std::ops::Range<u64>,
 ) -> (f64, f64) {
-    play_store_with(at_once, daemons, fixed, span, 0)
+    simulate_store_with_outliers(at_once, daemons, fixed, span, 0)
 }
 
-/// The same where one load in `odd` takes twice as long for a reason of its
+/// The same where one load in `slow_every` takes twice as long because of its
 /// engine; 0 for none.
-fn play_store_with(
+fn simulate_store_with_outliers(
     at_once: f64,
     daemons: usize,
     fixed: Option<u32>,
     span: std::ops::Range<u64>,
-    odd: usize,
+    slow_every: usize,
 ) -> (f64, f64) {
-    let mut begun = 0;
+    let mut started = 0;
     let mut windows = vec![crate::LoadWindow::default(); daemons];
     let mut loads: Vec<(usize, u64, f64)> = Vec::new();
     let (mut total, mut ended) = (0.0, 0.0);
@@ -358,8 +357,8 @@
             let size = fixed.unwrap_or(window.size()) as usize;
             let mine = loads.iter().filter(|l| l.0 == i).count();
             for _ in mine..size {
-                begun += 1;
-                let slow = odd > 0 && begun % odd == 0;
+                started += 1;
+                let slow = slow_every > 0 && started % slow_every == 0;
                 loads.push((i, now, if slow { 500.0 } else { 250.0 }));
             }
         }
@@ -378,94 +377,91 @@
     (total / ended, ended / seconds)
 }
 
-/// Symptom: for the first four seconds of traffic most requests of a large
-/// deployment were late. Events: every adapter has to come from the weight
-/// store, which serves dozens at once; three holders begin with few each.
-/// Cause: the window grew by one load a round trip, as it does when it is
-/// near the store's limit.
+/// Guards against a window that opens slowly: for the first four seconds most
+/// requests of a large deployment were late, because every adapter had to come
+/// from a weight store that serves dozens at once, and the windows of three
+/// lease holders grew by one load a round trip.
 #[test]
-fn ended_window_opens_fast() {
+fn record_load_window_opens_fast() {
     for (at_once, daemons) in [(48.0, 3), (8.0, 3), (8.0, 1), (64.0, 4)] {
-        let (took, rate) = play_store_in(at_once, daemons, None, 0..2_000);
+        let (duration_ms, rate) = simulate_store_during(at_once, daemons, None, 0..2_000);
         let best = at_once * 4.0;
         assert!(rate > 0.55 * best, "{rate}/s of {best} at {at_once}");
-        assert!(took < 480.0, "{took} ms at {at_once}");
+        assert!(duration_ms < 480.0, "{duration_ms} ms at {at_once}");
     }
 }
 
-/// Symptom: each load took several times its own time although the weight
-/// store was no faster for it. Events: every holder has many loads on their
-/// way at once. Cause: a fixed number, too high for this store.
+/// Guards against a fixed window that is too large for the store: each load
+/// took several times its own time although the store served no more loads for
+/// it.
 #[test]
-fn ended_window_finds_store() {
+fn record_load_window_finds_capacity() {
     for (at_once, daemons) in [(8.0, 3), (48.0, 3), (8.0, 1)] {
-        let (took, rate) = play_store(at_once, daemons, None);
+        let (duration_ms, rate) = simulate_store(at_once, daemons, None);
         let best = at_once * 4.0;
-        assert!(took < 360.0, "{took} ms at {at_once}");
+        assert!(duration_ms < 360.0, "{duration_ms} ms at {at_once}");
         assert!(rate > 0.85 * best, "{rate}/s of {best} at {at_once}");
     }
-    let (took, _) = play_store(8.0, 3, Some(16));
-    assert!(took > 1_400.0, "{took}");
+    let (duration_ms, _) = simulate_store(8.0, 3, Some(16));
+    assert!(duration_ms > 1_400.0, "{duration_ms}");
 }
 
-/// Symptom: half of all loads waited for the weight store, which had places
-/// for twice as many. Events: one load in twelve takes long because its
-/// engine is slow or its order came late. Cause: each of them was taken for a
-/// sign of a busy store, and the window shrank more often than it grew.
+/// Guards against a window that shrinks on single slow loads: half of all loads
+/// waited for the weight store, which had capacity for twice as many, because
+/// one load in twelve that was long for a reason of its engine or its command
+/// counted as a sign of a busy store.
 #[test]
-fn ended_window_outlasts_odd_loads() {
-    let (_, rate) = play_store_with(48.0, 3, None, 5_000..30_000, 12);
+fn record_load_window_tolerates_outliers() {
+    let (_, rate) = simulate_store_with_outliers(48.0, 3, None, 5_000..30_000, 12);
     let best = 48.0 * 4.0 * 12.0 / 13.0;
     assert!(rate > 0.8 * best, "{rate}/s of {best}");
 }
 
-/// Symptom: after many engines restarted at once the weight store took far
-/// more loads than it allows. Events: each of 30 engines wants its model.
-/// Cause: each was ordered its load at once.
+/// Guards against model loads beyond the weight store's rate when many engines
+/// restart at once: each of 30 engines had its model loaded at once.
 #[test]
-fn begin_restarts_keep_to_rate() {
-    let mut ceiling = crate::LoadRateLimit::default();
-    let begun = |ceiling: &mut crate::LoadRateLimit, now| {
-        (0..30).filter(|_| ceiling.try_start(2.8, 0.5, now)).count()
+fn try_start_restarts_keep_to_rate() {
+    let mut limit = crate::LoadRateLimit::default();
+    let started = |limit: &mut crate::LoadRateLimit, now| {
+        (0..30).filter(|_| limit.try_start(2.8, 0.5, now)).count()
     };
-    assert_eq!(begun(&mut ceiling, 0), 7);
-    assert_eq!(begun(&mut ceiling, 4_999), 0);
-    assert_eq!(begun(&mut ceiling, 5_000), 7);
-    assert!(ceiling.try_start(0.01, 0.1, 20_000));
+    assert_eq!(started(&mut limit, 0), 7);
+    assert_eq!(started(&mut limit, 4_999), 0);
+    assert_eq!(started(&mut limit, 5_000), 7);
+    assert!(limit.try_start(0.01, 0.1, 20_000));
 }
 
-/// Symptom: three quarters of all place-time went to one route, whose tokens
-/// came at less than half their pace. Events: long prompts are read beside its
-/// streams. Cause: an engine full of streams looked as good as an idle one.
+/// Guards against long prompts processed beside many streams: three quarters of
+/// all slot time went to one route, whose tokens came at less than half their
+/// pace, because an engine full of streams looked as good as an idle one.
 #[test]
-fn reading_ms_beside_streams_costs_when_places_are_short() {
+fn read_cost_ms_positive_when_slots_are_scarce() {
     let mut hold = HoldTime::default();
     for _ in 0..500 {
         hold.record(2_000);
     }
-    let short = SlotTimePrice::new(60, 60, hold, 1_000);
-    // 300 ms beside eight streams: 2.4 s of places, a little over one run.
-    let beside = short.read_cost_ms(300.0, 8);
+    let scarce = SlotTimePrice::new(60, 60, hold, 1_000);
+    // 300 ms beside eight streams: 2.4 s of slot time, a little over one run.
+    let beside = scarce.read_cost_ms(300.0, 8);
     assert!((1_150.0..1_250.0).contains(&beside), "{beside}");
-    assert_eq!(short.read_cost_ms(300.0, 0), 0.0);
+    assert_eq!(scarce.read_cost_ms(300.0, 0), 0.0);
     let plenty = SlotTimePrice::new(30, 60, hold, 1_000);
     assert_eq!(plenty.read_cost_ms(300.0, 8), 0.0);
     let none = SlotTimePrice::new(0, 0, hold, 1_000);
     assert_eq!(none.read_cost_ms(300.0, 8), 0.0);
 }
 
-/// Symptom: in the first second of a fleet of 156 engines, all of them empty,
-/// its holders ordered 200 loads where the weight store does 290. Events: each
-/// holder begins with three loads at once and learns that more are as fast.
-/// Cause: it began so whatever the size of the fleet.
+/// Guards against an initial window that ignores the size of the fleet: in the
+/// first second of 156 empty engines, the lease holders ordered 200 loads where
+/// the weight store can do 290, as each began with three loads at once.
 #[test]
-fn open_begins_by_engines() {
+fn init_for_scales_with_engines() {
     let mut window = LoadWindow::default();
     window.init_for(4);
     assert_eq!(window.size(), 3);
     window.init_for(31);
     assert_eq!(window.size(), 12);
-    // What loads have shown since goes before.
+    // Measured loads take precedence.
     window.record_load(250, true, 1_000);
     let learned = window.size();
     window.init_for(200);
--- a/crates/comfreyhall-placement/src/victim.rs
+++ b/crates/comfreyhall-placement/src/victim.rs
@@ -1,36 +1,37 @@
-//! Which adapter gives up its place on one engine.
+//! Selects the adapter to evict on one engine.
 
-/// One adapter on an engine, as a candidate to go.
+/// An adapter on an engine that may be evicted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvictionCandidate<K> {
     /// The adapter.
     pub key: K,
-    /// How much it is wanted.
+    /// Its decayed request count.
     pub score: f64,
-    /// Other engines that hold it.
+    /// Number of other engines that hold it.
     pub other_copies: u32,
     /// Requests that use it now.
     pub pins: u32,
-    /// Ms since its load ended.
+    /// Time since its load ended.
     pub age_ms: u64,
 }
 
-/// An adapter that has just arrived stays this long, in ms: the request it
-/// was loaded for is still on its way to it, and evicting it first made that
+/// Minimum age of an adapter before it may be evicted: the request it was
+/// loaded for is still on its way to it, and an earlier eviction made that
 /// request pay for the load twice.
-const SETTLE_MS: u64 = 400;
+const MIN_AGE_MS: u64 = 400;
 
-/// The adapter to evict: of those not in use the least wanted one.
+/// The adapter to evict: of those not in use, the one with the lowest score per
+/// copy.
 ///
-/// The score counts only once over all copies, so the spare copy of a hot
-/// adapter can go before the only copy of a warm one. Rather waiting some
-/// 100 ms for a colder place to fall free than taking one that is far more
-/// wanted than the newcomer brings nothing: half of all loads then wait for a
-/// place, and their callers with them.
-pub fn select_victim<K>(occupants: &[EvictionCandidate<K>]) -> Option<&EvictionCandidate<K>> {
-    let share = |o: &EvictionCandidate<K>| o.score / f64::from(o.other_copies + 1);
-    occupants
+/// A score is divided among all copies, so the spare copy of a hot adapter can
+/// be evicted before the only copy of a warm one. Waiting some 100 ms for a
+/// slot of a colder adapter, rather than evicting one with a far higher score
+/// than the new one, brings nothing: half of all loads then wait for a slot,
+/// and their callers with them.
+pub fn select_victim<K>(candidates: &[EvictionCandidate<K>]) -> Option<&EvictionCandidate<K>> {
+    let copy_score = |c: &EvictionCandidate<K>| c.score / f64::from(c.other_copies + 1);
+    candidates
         .iter()
-        .filter(|o| o.pins == 0 && o.age_ms >= SETTLE_MS)
-        .min_by(|a, b| share(a).total_cmp(&share(b)))
+        .filter(|c| c.pins == 0 && c.age_ms >= MIN_AGE_MS)
+        .min_by(|a, b| copy_score(a).total_cmp(&copy_score(b)))
 }
--- a/crates/comfreyhall-placement/src/view.rs
+++ b/crates/comfreyhall-placement/src/view.rs
@@ -1,4 +1,4 @@
-//! The daemon's view of the engines, as policies read it.
+//! A daemon's view of the engines, as read by policies.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 pub struct SlotView {
     /// `adapter@version` held in the slot.
     pub key: Arc<str>,
-    /// Requests using the slot now; a pinned slot is never a victim.
+    /// Requests using the slot now; a pinned slot is never evicted.
     pub pins: u32,
-    /// Whether the weights are still arriving.
+    /// Whether the weights are still being loaded.
     pub loading: bool,
 }
 
 impl SlotView {
-    /// Whether the slot may be named as a victim.
+    /// Whether the slot may be evicted.
     pub fn evictable(&self) -> bool {
         self.pins == 0 && !self.loading
     }
@@ -27,7 +27,7 @@
     pub id: Arc<str>,
     /// Occupied slots.
     pub slots: Vec<SlotView>,
-    /// Number of slots in all.
+    /// Total number of slots.
     pub capacity: u32,
     /// Requests queued or running.
     pub requests: u32,
@@ -43,7 +43,7 @@
         self.slots.iter().any(|s| &*s.key == key)
     }
 
-    /// Whether weights are on their way to the engine.
+    /// Whether a load is in progress on the engine.
     pub fn loading(&self) -> bool {
         self.slots.iter().any(|s| s.loading)
     }
@@ -53,13 +53,13 @@
         (self.slots.len() as u32) < self.capacity
     }
 
-    /// Whether more requests would only queue.
+    /// Whether further requests would only queue.
     pub fn saturated(&self) -> bool {
         self.requests >= self.batch_width
     }
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Run on the engine at this index; it holds the adapter.
@@ -76,9 +76,9 @@
     },
     /// Run on `engine`, and copy the adapter to `copy` in the background.
     ///
-    /// The request never waits for the copy: a copy costs a weight-store
-    /// load, and making the request wait for it stalled requests that the
-    /// saturated engine would have served sooner.
+    /// The request never waits for the copy: a copy costs a weight-store load,
+    /// and making the request wait for it stalled requests that the saturated
+    /// engine would have served sooner.
     RunAndCopy {
         /// Index of the engine that runs the request.
         engine: usize,
@@ -87,6 +87,7 @@
         /// Slots to evict there, most preferred first.
         victims: Vec<Arc<str>>,
     },
-    /// No engine can take it now: every slot is pinned or no engine is up.
+    /// No engine can take it now: every slot is pinned or no engine is
+    /// available.
     Busy,
 }
