--- a/crates/comfreyhall-node/src/facts.rs
+++ b/crates/comfreyhall-node/src/facts.rs
@@ -6,28 +6,28 @@
 
 use std::sync::Arc;
 
-use comfreyhall_domain::{Config, Map, Name, Ranks, Stage, Target};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_domain::{Config, Map, Name, PriorityTable, Stage, Target};
+use comfreyhall_inforce::{SettingsTracker, Source};
 
 use crate::{
-    node::{Named, Node, View},
-    ports::{Decoded, Fact, Facts, Topic},
+    node::{NamedVersion, Node, View},
+    ports::{Decoded, Record, RecordBatch, Topic},
 };
 
 /// Rows of one topic by key.
 #[derive(Debug, Default)]
-pub(crate) struct Shelf {
-    pub(crate) rows: Map<Name, Fact>,
+pub(crate) struct TopicRows {
+    pub(crate) rows: Map<Name, Record>,
     /// Version at which each row last changed in what peers must know.
     pub(crate) news: Map<Name, u64>,
     /// Newest version covered.
     pub(crate) version: u64,
     /// When the store said what is known here, to us or to a peer; of the settings
-    /// [`InForce`] knows it.
+    /// [`SettingsTracker`] knows it.
     pub(crate) as_of: u64,
 }
 
-impl Shelf {
+impl TopicRows {
     /// Ms since the store said what is known here; the most there is if it
     /// never did.
     pub(crate) fn age(&self, now: u64) -> u64 {
@@ -45,15 +45,15 @@
 
 /// The rows of all topics.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
-    pub(crate) settings: Shelf,
-    pub(crate) targets: Shelf,
+pub(crate) struct FactStore {
+    pub(crate) settings: TopicRows,
+    pub(crate) targets: TopicRows,
     /// How far the settings reach.
-    pub(crate) in_force: InForce,
+    pub(crate) settings_sync: SettingsTracker,
 }
 
-impl Book {
-    pub(crate) fn shelf(&mut self, topic: Topic) -> &mut Shelf {
+impl FactStore {
+    pub(crate) fn topic_rows(&mut self, topic: Topic) -> &mut TopicRows {
         match topic {
             Topic::Settings => &mut self.settings,
             Topic::Targets => &mut self.targets,
@@ -64,36 +64,38 @@
 /// Where rows came from, and when they were asked for.
 #[derive(Debug)]
 pub(crate) struct Provenance {
-    pub(crate) way: Way,
+    pub(crate) way: Source,
     pub(crate) asked: u64,
 }
 
 impl Provenance {
     /// The store's answer to a call that began at `asked`.
     pub(crate) fn store(asked: u64) -> Self {
-        let way = Way::Store;
+        let way = Source::Store;
         Self { way, asked }
     }
 }
 
 /// Applies rows of `topic` that are newer than those known.
-pub(crate) fn apply(node: &Node, topic: Topic, facts: Facts, origin: &Provenance) {
+pub(crate) fn apply(node: &Node, topic: Topic, facts: RecordBatch, origin: &Provenance) {
     let now = node.now();
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.records.topic_rows(topic);
     shelf.version = shelf.version.max(facts.version);
     let mut changed = false;
     for fact in facts.rows {
-        let known = view.book.shelf(topic).rows.get(&fact.key);
+        let known = view.records.topic_rows(topic).rows.get(&fact.key);
         if known.is_some_and(|k| k.version >= fact.version) {
             continue;
         }
         if topic == Topic::Settings {
             let Provenance { way, asked } = origin;
-            view.book.in_force.take(fact.version, way, *asked, now);
+            view.records
+                .settings_sync
+                .apply(fact.version, way, *asked, now);
         }
         let news = take(node, &mut view, topic, &fact, now);
-        let shelf = view.book.shelf(topic);
+        let shelf = view.records.topic_rows(topic);
         if news {
             shelf.news.insert(fact.key.clone(), fact.version);
         }
@@ -112,10 +114,10 @@
 /// the adapters it holds, of which the holder of its lease tells sooner.
 /// Telling peers of each such row came to 1.7 GB between failure domains in
 /// a calm day of 89 daemons and 93 targets, which filled the smaller links.
-fn take(node: &Node, view: &mut View, topic: Topic, fact: &Fact, now: u64) -> bool {
+fn take(node: &Node, view: &mut View, topic: Topic, fact: &Record, now: u64) -> bool {
     if fact.value.is_none() {
         if topic == Topic::Targets {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             if let Some(known) = view.boot_of(&fact.key) {
                 forget(view, &known.id);
             }
@@ -123,7 +125,7 @@
         return true;
     }
     match node.source.decode(topic, fact) {
-        Ok(Decoded::Config { config, odd }) => {
+        Ok(Decoded::Config { config, warnings }) => {
             if view
                 .config
                 .as_ref()
@@ -131,35 +133,35 @@
             {
                 return false;
             }
-            for problem in odd {
+            for problem in warnings {
                 log::warn!(target: "follow", version = config.version, problem; "odd setting read on the safe side");
             }
             tell_in_force(node, view, &config, fact);
-            view.book.in_force.set_readable(true);
+            view.records.settings_sync.set_readable(true);
             view.config_key = Some(fact.key.clone());
-            view.ranks = Ranks::of(&config);
+            view.ranks = PriorityTable::from_config(&config);
             view.config = Some(Arc::from(config));
         }
         Ok(Decoded::Version(adapter, version)) => {
-            let known = view.named.get(&adapter);
+            let known = view.named_versions.get(&adapter);
             if known.is_some_and(|n| n.version >= version) {
                 return false;
             }
-            let named = Named {
+            let named = NamedVersion {
                 version,
-                learned: now,
+                learned_ms: now,
             };
-            view.named.insert(adapter, named);
+            view.named_versions.insert(adapter, named);
         }
         Ok(Decoded::Target(target)) => {
-            view.unread.remove(&fact.key);
+            view.entry_errors.remove(&fact.key);
             // Another boot is only looked for when this one is not known:
             // looking through all targets for each of their entries would
             // take 4 million comparisons a second with 2,200 targets.
             if !view.targets.contains_key(&target.id)
                 && let Some(known) = view.boot_of(&target.name)
             {
-                if known.born > target.born {
+                if known.started_at_ms > target.started_at_ms {
                     log::info!(target: "follow", id:% = target.id, newer:% = known.id; "entry of an earlier boot passed over");
                     return false;
                 }
@@ -184,7 +186,7 @@
         Err(problem) => {
             let key = view.config_key.as_ref();
             if key.is_none_or(|k| *k == fact.key) {
-                view.book.in_force.set_readable(false);
+                view.records.settings_sync.set_readable(false);
             }
             log::warn!(target: "follow", key:% = fact.key, problem:%; "row refused; the last good one stays in force");
         }
@@ -193,15 +195,16 @@
 }
 
 /// Notes that `config`, which stands in `fact`, is in force from now on.
-fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Fact) {
-    let Some(taken) = view.book.in_force.taken() else {
+fn tell_in_force(node: &Node, view: &View, config: &Config, fact: &Record) {
+    let Some(taken) = view.records.settings_sync.last_applied() else {
         return;
     };
     let bytes = fact.value.as_ref().map_or(0, |v| v.len());
-    node.metrics.settings(taken.way.kind(), bytes, taken.waited);
+    node.metrics
+        .settings(taken.source.label(), bytes, taken.waited_ms);
     let before = view.config.as_ref().map_or(0, |c| c.version);
-    let age = view.book.in_force.age(taken.at);
-    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.way, waited = taken.waited, age, bytes; "configuration in force");
+    let age = view.records.settings_sync.age_ms(taken.applied_at_ms);
+    log::info!(target: "follow", version = config.version, before, routes = config.routes.len(), row = fact.version, from:% = taken.source, waited = taken.waited_ms, age, bytes; "configuration in force");
 }
 
 /// Sends nothing new to the target listed under `name`, whose entry cannot be
@@ -215,15 +218,15 @@
         target.stage = Stage::Draining;
         view.targets.insert(target.id.clone(), Arc::new(target));
     }
-    if view.unread.get(name) != Some(&problem) {
+    if view.entry_errors.get(name) != Some(&problem) {
         log::warn!(target: "follow", key:% = name, problem:%; "entry names no target; correct or delete it");
-        view.unread.insert(name.clone(), problem);
+        view.entry_errors.insert(name.clone(), problem);
     }
 }
 
 /// Whether two entries of a target differ in nothing that routes depend on.
 fn same(a: &Target, b: &Target) -> bool {
-    let models = |t: &Target| t.held.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
+    let models = |t: &Target| t.loaded.iter().map(|h| h.model.clone()).collect::<Vec<_>>();
     a.stage == b.stage && a.addr == b.addr && a.service == b.service && models(a) == models(b)
 }
 
@@ -237,14 +240,14 @@
 }
 
 /// Marks targets that a full read as of `version` no longer lists as gone.
-pub(crate) fn sweep(node: &Node, listed: &Facts) {
+pub(crate) fn sweep(node: &Node, listed: &RecordBatch) {
     let present: std::collections::HashSet<&Name> = listed.rows.iter().map(|f| &f.key).collect();
-    let gone: Vec<Fact> = {
+    let gone: Vec<Record> = {
         let mut view = node.view();
-        let rows = view.book.shelf(Topic::Targets).rows.values();
+        let rows = view.records.topic_rows(Topic::Targets).rows.values();
         rows.filter(|f| f.value.is_some() && !present.contains(&f.key))
             .filter(|f| f.version <= listed.version)
-            .map(|f| Fact {
+            .map(|f| Record {
                 key: f.key.clone(),
                 value: None,
                 version: listed.version,
@@ -255,7 +258,7 @@
         apply(
             node,
             Topic::Targets,
-            Facts {
+            RecordBatch {
                 rows: gone,
                 version: listed.version,
             },
--- a/crates/comfreyhall-node/src/fleet/news.rs
+++ b/crates/comfreyhall-node/src/fleet/news.rs
@@ -3,19 +3,19 @@
 use std::sync::Arc;
 
 use comfreyhall_domain::{Map, Name, Set};
-use comfreyhall_inforce::{InForce, Way};
+use comfreyhall_inforce::{SettingsTracker, Source};
 use comfreyhall_protocol::{Daemon, Demand, EngineRun, Holding, News, TargetWork};
 use comfreyhall_quarantine::SyncPosition;
 use comfreyhall_routing::{Presence, Work};
 use rand::seq::IteratorRandom;
 
-use super::{Fleet, Peer, State, hub, parse_key, runs::Runs};
+use super::{Fleet, Peer, State, hub, parse_adapter_key, runs::Runs};
 use crate::{
     facts::{self, Provenance},
     follow,
     node::Node,
     outbound,
-    ports::{Fact, Facts, Topic},
+    ports::{Record, RecordBatch, Topic},
     quarantine::wire,
 };
 
@@ -38,13 +38,13 @@
         let mut state = self.state();
         let known = state.alive(now).filter(|(a, _)| &***a != addr);
         let known = known.map(|(a, _)| a.to_string());
-        news.peers = if hub::large(state.peers.len()) {
+        news.peers = if hub::is_large(state.peers.len()) {
             // Rosters name the rest.
             known.choose_multiple(&mut rand::rng(), NAMED)
         } else {
             known.collect()
         };
-        if hub::large(state.peers.len()) {
+        if hub::is_large(state.peers.len()) {
             news.holders = state.holders(now);
         }
         news.runs = state.runs_for(addr, now);
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn own_news(&self, node: &Node, now: u64) -> News {
-        let words = outbound::words_of_holder(node);
+        let words = outbound::holder_notices(node);
         let mut view = node.view();
         let work = view.board.own_work().map(|(target, w)| TargetWork {
             target: target.to_string(),
@@ -98,11 +98,11 @@
             running: w.requests,
         });
         let work = work.collect();
-        let targets = view.book.shelf(Topic::Targets);
+        let targets = view.records.topic_rows(Topic::Targets);
         let targets_version = targets.version;
         let targets_age = targets.age(now);
-        let settings_age = view.book.in_force.age(now);
-        let settings_version = view.book.in_force.newest();
+        let settings_age = view.records.settings_sync.age_ms(now);
+        let settings_version = view.records.settings_sync.newest();
         // Who has heard of newer settings for one part of their bound and does
         // not have them counts as cut off; the other parts are left for a peer
         // to hear of it and to send them. What goes wrong without it: the store
@@ -110,7 +110,7 @@
         // fail, and until then the daemon does not know that it is cut off:
         // routes denied 3 s after they were added, 17 times in a heavy day of
         // 90 daemons.
-        let behind_ms = view.book.in_force.behind_ms(now);
+        let behind_ms = view.records.settings_sync.lag_ms(now);
         let lag_ms = node.settings().bounds.apply_ms / follow::PARTS_PER_APPLY;
         let mut from = self.me.clone();
         from.ready = node.ready();
@@ -130,7 +130,7 @@
             targets_version,
             targets_age,
             settings_age,
-            cut_off: node.cut_off() || behind_ms > lag_ms,
+            cut_off: node.settings_unavailable() || behind_ms > lag_ms,
             members: self.known_members(),
             words,
             sent_at: now,
@@ -157,7 +157,7 @@
             let Some(peer) = state.peers.get(addr) else {
                 return;
             };
-            if hub::large(state.peers.len()) && !peer.holds() {
+            if hub::is_large(state.peers.len()) && !peer.holds() {
                 return;
             }
             let new = peer.about.is_none();
@@ -179,12 +179,12 @@
             return;
         };
         let now = node.now();
-        self.meet(&from.peer, false);
+        self.add_peer(&from.peer, false);
         for addr in &news.peers {
-            self.meet(addr, false);
+            self.add_peer(addr, false);
         }
         wire::hear(node, &news.evidence);
-        outbound::learn(node, &news.words, &from.id);
+        outbound::merge_notices(node, &news.words, &from.id);
         let mut works = self.learn_peer(node, &from, &news, now);
         self.learn_holders(&news.holders, now);
         if how == super::Origin::Answer {
@@ -192,7 +192,7 @@
         }
         let ours = news.cessions.iter().filter(|c| c.to == self.me.peer);
         for cession in ours {
-            node.leases.accept(&cession.group, cession.token);
+            node.leases.accept_handover(&cession.group, cession.token);
             node.changed.notify_waiters();
         }
         let peer: Name = from.id.as_str().into();
@@ -209,7 +209,7 @@
         }
         view.board.set_peer_work(&peer, &works, now + alive_for);
         for placed in &news.placed {
-            if let Some(adapter) = parse_key(&placed.adapter) {
+            if let Some(adapter) = parse_adapter_key(&placed.adapter) {
                 let target: Name = placed.target.as_str().into();
                 let standing = match placed.dropped {
                     true => Presence::Absent,
@@ -219,40 +219,45 @@
             }
         }
         for demand in &news.demands {
-            view.wanted(&demand.key, demand.requests, now);
+            view.count_demand(&demand.key, demand.requests, now);
         }
         drop(view);
         let age = news.targets_age;
-        let covers = news.targets_version >= node.view().book.targets.version;
+        let covers = news.targets_version >= node.view().records.targets.version;
         let settings_as_of = self.settings_as_of(&news);
         let settings_version = news.settings_version;
         // What it takes this daemon to have may be what an earlier start had.
-        let settings = match node.view().book.in_force.fits(news.settings_since) {
+        let settings = match node
+            .view()
+            .records
+            .settings_sync
+            .is_contiguous(news.settings_since)
+        {
             true => news.settings,
             false => Vec::new(),
         };
         let origin = Provenance {
-            way: Way::Peer(peer.clone()),
+            way: Source::Peer(peer.clone()),
             asked: now,
         };
         for (topic, rows) in [(Topic::Settings, settings), (Topic::Targets, news.targets)] {
             if rows.is_empty() {
                 continue;
             }
-            let rows: Vec<Fact> = rows.into_iter().map(from_wire).collect();
+            let rows: Vec<Record> = rows.into_iter().map(from_wire).collect();
             let version = rows.iter().map(|f| f.version).max().unwrap_or(0);
-            facts::apply(node, topic, Facts { rows, version }, &origin);
+            facts::apply(node, topic, RecordBatch { rows, version }, &origin);
             follow::settle(node);
         }
         let mut view = node.view();
         if age != u64::MAX && covers {
-            view.book.targets.confirm(now.saturating_sub(age));
+            view.records.targets.confirm(now.saturating_sub(age));
         }
-        let in_force = &mut view.book.in_force;
-        let before = in_force.heard().map(|h| h.version);
-        in_force.peer_said(&peer, settings_version, settings_as_of, now);
+        let in_force = &mut view.records.settings_sync;
+        let before = in_force.newer_version().map(|h| h.version);
+        in_force.peer_reported(&peer, settings_version, settings_as_of, now);
         tell_heard(in_force, before, now);
-        let lacking = in_force.heard().is_some();
+        let lacking = in_force.newer_version().is_some();
         drop(view);
         if lacking {
             self.wake_fetch();
@@ -275,7 +280,7 @@
     /// Takes in what a peer tells of itself; returns its work at engines.
     fn learn_peer(&self, node: &Node, from: &Daemon, news: &News, now: u64) -> Map<Name, Work> {
         for holding in &news.holdings {
-            node.leases.beat(&holding.group, holding.token);
+            node.leases.observe_token(&holding.group, holding.token);
         }
         let mut state = self.state();
         let limit = Self::alive_ms(state.peers.len());
@@ -320,13 +325,18 @@
 
 /// Notes a newer version of the settings that was just heard of, and why it may
 /// take time to come.
-fn tell_heard(in_force: &InForce, before: Option<u64>, now: u64) {
-    let Some(heard) = in_force.heard().filter(|h| Some(h.version) != before) else {
+fn tell_heard(in_force: &SettingsTracker, before: Option<u64>, now: u64) {
+    let Some(heard) = in_force
+        .newer_version()
+        .filter(|h| Some(h.version) != before)
+    else {
         return;
     };
-    let (row, age) = (in_force.newest(), in_force.age(now));
-    let away = in_force.away().map_or(0, |since| now.saturating_sub(since));
-    log::info!(target: "follow", newer = heard.version, peer:% = heard.from, row, age, away, behind = in_force.behind_ms(now); "newer settings heard of");
+    let (row, age) = (in_force.newest(), in_force.age_ms(now));
+    let away = in_force
+        .store_down_since()
+        .map_or(0, |since| now.saturating_sub(since));
+    log::info!(target: "follow", newer = heard.version, peer:% = heard.reported_by, row, age, away, behind = in_force.lag_ms(now); "newer settings heard of");
 }
 
 impl State {
@@ -334,7 +344,7 @@
     /// at engines of its groups, and those of groups without a known holder.
     fn runs_for(&self, addr: &str, now: u64) -> Vec<EngineRun> {
         let all = self.runs.iter();
-        if !hub::large(self.peers.len()) {
+        if !hub::is_large(self.peers.len()) {
             return all.map(|(id, run)| run.to_wire(id)).collect();
         }
         let holds = |p: &Peer, group: &Name| p.holdings.iter().any(|(g, _)| g == group);
@@ -347,7 +357,7 @@
     }
 }
 
-pub(super) fn to_wire(fact: &Fact) -> comfreyhall_protocol::Fact {
+pub(super) fn to_wire(fact: &Record) -> comfreyhall_protocol::Fact {
     comfreyhall_protocol::Fact {
         key: fact.key.to_string(),
         value: fact.value.as_ref().map(|v| v.to_vec()).unwrap_or_default(),
@@ -356,8 +366,8 @@
     }
 }
 
-pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Fact {
-    Fact {
+pub(super) fn from_wire(fact: comfreyhall_protocol::Fact) -> Record {
+    Record {
         key: fact.key.into(),
         value: (!fact.deleted).then(|| fact.value.into()),
         version: fact.version,
@@ -371,9 +381,9 @@
     version: u64,
 ) -> Vec<comfreyhall_protocol::Fact> {
     let mut view = node.view();
-    let shelf = view.book.shelf(topic);
+    let shelf = view.records.topic_rows(topic);
     // All settings, so that nobody lacks the newest row; of targets, what matters.
-    let newer = |fact: &&Fact| match topic {
+    let newer = |fact: &&Record| match topic {
         Topic::Settings => fact.version > version,
         Topic::Targets => shelf.news.get(&fact.key).is_some_and(|v| *v > version),
     };
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -30,8 +30,8 @@
 
 use self::ticket::{Done, Ticket};
 pub(crate) use self::{
-    ticket::{Placed, Unplaced},
-    wish::{Pick, Wish, ensure},
+    ticket::{Placed, PlacementError},
+    wish::{EngineCandidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
@@ -125,7 +125,7 @@
 }
 
 /// All keepers of this daemon.
-pub(crate) struct Keepers {
+pub(crate) struct EngineControllers {
     jobs: Mutex<Map<Name, mpsc::Sender<Job>>>,
     /// Engines to which each adapter is on its way.
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
@@ -137,7 +137,7 @@
     times: Mutex<[f64; 2]>,
 }
 
-impl Default for Keepers {
+impl Default for EngineControllers {
     fn default() -> Self {
         Self {
             jobs: Mutex::default(),
@@ -150,7 +150,7 @@
     }
 }
 
-impl Keepers {
+impl EngineControllers {
     fn window(&self) -> MutexGuard<'_, LoadWindow> {
         self.window.lock().expect("no holder of this lock panics")
     }
@@ -167,7 +167,7 @@
     }
 
     /// Expected ms of a load.
-    pub(crate) fn load_ms(&self, recent: bool) -> f64 {
+    pub(crate) fn expected_load_ms(&self, recent: bool) -> f64 {
         let times = self.times.lock().expect("no holder of this lock panics");
         times[usize::from(recent)]
     }
@@ -231,13 +231,13 @@
             {
                 let mut view = node.view();
                 view.demand.prune(FORGOTTEN_SCORE, now);
-                view.rush.prune(FORGOTTEN_SCORE, now);
-                view.asked.prune(FORGOTTEN_SCORE, now);
+                view.fast_demand.prune(FORGOTTEN_SCORE, now);
+                view.bind_demand.prune(FORGOTTEN_SCORE, now);
             }
             let ours = engines(&node).into_iter();
-            let ours = ours.filter(|t| node.token(&t.domain).is_some());
+            let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
-            node.keepers.window().init_for(ours.len());
+            node.controllers.window().init_for(ours.len());
             for target in &ours {
                 start(&node, target);
             }
@@ -262,7 +262,7 @@
 }
 
 fn start(node: &Arc<Node>, target: &Arc<Target>) {
-    let mut jobs = node.keepers.jobs();
+    let mut jobs = node.controllers.jobs();
     if jobs.get(&target.id).is_some_and(|j| !j.is_closed()) {
         return;
     }
@@ -320,7 +320,7 @@
 }
 
 /// Tells all who wait how it ended.
-fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, Unplaced>) {
+fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, PlacementError>) {
     for done in waiting {
         // Whoever waited may have left.
         let _ = done.send(result.clone());
--- a/crates/comfreyhall-node/src/keeper/task.rs
+++ b/crates/comfreyhall-node/src/keeper/task.rs
@@ -41,13 +41,13 @@
         let found = self.node.view().targets.get(&self.target.id).cloned();
         let Some(target) = found else { return false };
         self.target = target;
-        self.node.token(&self.target.domain).is_some()
+        self.node.token(&self.target.failure_domain).is_some()
     }
 
     /// Does what can be done now; returns when to look again.
     pub(super) async fn advance(&mut self) -> u64 {
         let now = self.node.now();
-        if let Some(closed) = outbound::closed(&self.node, &self.target.id) {
+        if let Some(closed) = outbound::unavailable(&self.node, &self.target.id) {
             self.set_aside();
             return now + closed.retry_ms;
         }
--- a/crates/comfreyhall-node/src/keeper/wish/tests.rs
+++ b/crates/comfreyhall-node/src/keeper/wish/tests.rs
@@ -3,8 +3,8 @@
 use comfreyhall_domain::AdapterRef;
 use tokio::sync::mpsc;
 
-use super::{Pick, Wish, ensure};
-use crate::quiet::node;
+use super::{EngineCandidate, PlacementRequest, place_adapter};
+use crate::test_node::node;
 
 /// Symptom: an engine that was gone was asked again by every request. Events:
 /// its keeper finds that it takes no orders and lets the wish go, and no other
@@ -14,28 +14,28 @@
 async fn ensure_gone_engine_is_named() {
     let node = node();
     let (send, mut jobs) = mpsc::channel(1);
-    node.keepers.jobs().insert("e".into(), send);
+    node.controllers.jobs().insert("e".into(), send);
     tokio::spawn(async move {
         let job = jobs.recv().await.unwrap();
         let done = job.claim();
         job.ticket.as_ref().unwrap().note_gone(&"e".into());
         job.yield_to_others(done);
     });
-    let wish = Wish {
+    let wish = PlacementRequest {
         adapter: AdapterRef {
             model: "m".into(),
             adapter: Some("a".into()),
         },
-        picks: vec![Pick {
+        candidates: vec![EngineCandidate {
             target: "e".into(),
             extra_ms: 0,
         }],
         version: 0,
         priority: 0,
-        aim_ms: 1_000,
-        begin: Duration::from_secs(5),
-        limit: Duration::from_secs(5),
+        objective_ms: 1_000,
+        start_timeout: Duration::from_secs(5),
+        total_timeout: Duration::from_secs(5),
     };
-    let unplaced = ensure(&node, wish).await.unwrap_err();
+    let unplaced = place_adapter(&node, wish).await.unwrap_err();
     assert_eq!(unplaced.gone, ["e".into()]);
 }
--- a/crates/comfreyhall-node/src/quarantine/confirm.rs
+++ b/crates/comfreyhall-node/src/quarantine/confirm.rs
@@ -11,8 +11,8 @@
 use comfreyhall_domain::Name;
 use comfreyhall_quarantine::Fingerprint;
 
-use super::{Node, Watch, doubted, settle};
-use crate::{outbound, ports::Pulse};
+use super::{Node, QuarantineTracker, doubted, settle};
+use crate::{outbound, ports::ProbeResult};
 
 /// Pauses before each look at the target, in ms: a process that ended refuses
 /// connections at once; a listener may outlive its process by some ms.
@@ -43,9 +43,9 @@
             return true;
         };
         match outbound::probe(node, &known).await {
-            Pulse::Alive => return false,
-            Pulse::Ended => return true,
-            Pulse::Silent => {}
+            ProbeResult::Alive => return false,
+            ProbeResult::Gone => return true,
+            ProbeResult::NoAnswer => {}
         }
     }
     let until = node.now() + GONE_MS;
@@ -58,11 +58,11 @@
     false
 }
 
-impl Watch {
+impl QuarantineTracker {
     /// Waits for a while until it is known whether targets that closed
     /// connections of the suspect `fingerprint` have ended: it may be one too
     /// many.
-    pub(crate) async fn settled(&self, node: &Node, fingerprint: &Fingerprint) {
+    pub(crate) async fn await_verdict(&self, node: &Node, fingerprint: &Fingerprint) {
         let settled = async {
             loop {
                 let notified = self.settled.notified();
--- a/crates/comfreyhall-node/src/serve/hold.rs
+++ b/crates/comfreyhall-node/src/serve/hold.rs
@@ -1,6 +1,6 @@
 //! Which request an attempt is one of, and whether that may be sent.
 
-use comfreyhall_domain::{Ask, Caller, answer_held};
+use comfreyhall_domain::{Caller, ClientRequest, answer_quarantined};
 use comfreyhall_quarantine::Fingerprint;
 
 use super::{Job, Reply};
@@ -13,13 +13,13 @@
 /// host it calls, what it calls, and its body. Ids, time limits and hints differ
 /// from attempt to attempt, and other headers are the caller's own to change, so
 /// all are left out.
-fn fingerprint_of(ask: &Ask, caller: &Caller) -> Fingerprint {
+fn fingerprint_of(ask: &ClientRequest, caller: &Caller) -> Fingerprint {
     Fingerprint::of([
         ask.host.as_bytes(),
         caller.workspace().map_or("", |w| &*w.name).as_bytes(),
-        ask.message.method.as_str().as_bytes(),
-        ask.message.path.as_bytes(),
-        &ask.message.body,
+        ask.forwarded.method.as_str().as_bytes(),
+        ask.forwarded.path.as_bytes(),
+        &ask.forwarded.body,
     ])
 }
 
@@ -35,13 +35,13 @@
     /// The target closed the connection of the run `flight`.
     pub(crate) fn broke(&self, flight: &Flight) {
         let target = &flight.target;
-        quarantine::broke(&self.node, target, self.fingerprint(), flight.early());
+        quarantine::connection_closed(&self.node, target, self.fingerprint(), flight.early());
     }
 
     /// A target ran it to its end.
     pub(crate) fn ran_whole(&self) {
         if !self.node.quarantine.is_empty() {
-            quarantine::ran_whole(&self.node, self.fingerprint());
+            quarantine::run_completed(&self.node, self.fingerprint());
         }
     }
 
@@ -54,17 +54,20 @@
             return None;
         }
         let fingerprint = self.fingerprint();
-        if self.node.quarantine.suspects(&fingerprint) {
-            self.node.quarantine.settled(&self.node, &fingerprint).await;
+        if self.node.quarantine.is_suspect(&fingerprint) {
+            self.node
+                .quarantine
+                .await_verdict(&self.node, &fingerprint)
+                .await;
         }
         if self.trial.is_some() {
             // A trial is one send.
             let sent = self.verdict.sends > 0;
-            return sent.then_some(quarantine::TRIED_MS);
+            return sent.then_some(quarantine::TRIAL_RETRY_MS);
         }
         match quarantine::admit(&self.node, fingerprint) {
-            Admission::Free => None,
-            Admission::Held(retry_ms) => Some(retry_ms),
+            Admission::Allowed => None,
+            Admission::Quarantined(retry_ms) => Some(retry_ms),
             Admission::Trial(trial) => {
                 log::info!(target: "quarantine", id:% = self.ask.id, fingerprint:%; "request tried again");
                 self.trial = Some(trial);
@@ -84,8 +87,8 @@
         }
         let (now, left, fingerprint) = (self.node.now(), self.left(), self.fingerprint());
         let held = now - self.began;
-        let answer = answer_held(&self.verdict, retry_ms);
-        let evidence = self.node.quarantine.ends(&fingerprint, now);
+        let answer = answer_quarantined(&self.verdict, retry_ms);
+        let evidence = self.node.quarantine.describe_ends(&fingerprint, now);
         self.node.metrics.request(self.route.kind, answer.name());
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, fingerprint:%, why, answer:?, evidence, sends = self.verdict.sends, held, left; "given up");
         Reply::Unanswered(answer)
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -11,7 +11,7 @@
     hash::{Hash, Hasher},
 };
 
-use comfreyhall_domain::{AdapterRef, Map, Name, Part};
+use comfreyhall_domain::{AdapterRef, Map, Name, PromptSegment};
 use rustc_hash::FxHasher;
 
 /// Entries kept before the oldest is dropped: targets of the deployments served
@@ -26,7 +26,7 @@
 }
 
 /// Hash of each prefix of `parts`, with the tokens of its last part.
-fn prefix_hashes(adapter: &AdapterRef, parts: &[Part]) -> impl Iterator<Item = (u64, u32)> {
+fn prefix_hashes(adapter: &AdapterRef, parts: &[PromptSegment]) -> impl Iterator<Item = (u64, u32)> {
     let mut hash = FxHasher::default();
     adapter.hash(&mut hash);
     parts.iter().map(move |p| {
@@ -37,7 +37,12 @@
 
 impl PrefixIndex {
     /// Tokens of `parts` that `target` has cached.
-    pub fn cached_tokens(&self, adapter: &AdapterRef, parts: &[Part], target: &Name) -> u64 {
+    pub fn cached_tokens(
+        &self,
+        adapter: &AdapterRef,
+        parts: &[PromptSegment],
+        target: &Name,
+    ) -> u64 {
         prefix_hashes(adapter, parts)
             .take_while(|(key, _)| self.processed.contains_key(&(*key, target.clone())))
             .map(|(_, tokens)| u64::from(tokens))
@@ -45,7 +50,13 @@
     }
 
     /// Records that `target` has processed `parts`.
-    pub fn record(&mut self, adapter: &AdapterRef, parts: &[Part], target: &Name, now: u64) {
+    pub fn record(
+        &mut self,
+        adapter: &AdapterRef,
+        parts: &[PromptSegment],
+        target: &Name,
+        now: u64,
+    ) {
         for (key, _) in prefix_hashes(adapter, parts) {
             let key = (key, target.clone());
             if self.processed.insert(key.clone(), now).is_none() {
--- a/crates/comfreyhall-routing/src/residency.rs
+++ b/crates/comfreyhall-routing/src/residency.rs
@@ -79,7 +79,7 @@
             let forgotten = absent && now.saturating_sub(next.last_held_ms) >= CACHE_TTL_MS;
             self.set(&adapter, &target.id, (!forgotten).then_some(next));
         }
-        for held in &target.held {
+        for held in &target.loaded {
             for (name, version) in &held.adapters {
                 let adapter = AdapterRef {
                     model: held.model.clone(),
--- a/crates/comfreyhall-routing/src/selection.rs
+++ b/crates/comfreyhall-routing/src/selection.rs
@@ -8,7 +8,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use comfreyhall_domain::{Name, Part};
+use comfreyhall_domain::{Name, PromptSegment};
 use rustc_hash::FxHasher;
 
 /// Cost of a target in another failure domain. Traffic between domains is
@@ -141,7 +141,7 @@
 /// which takes 160 ms of an engine's time for 6,300 tokens.
 pub fn prefix_engine<'a>(
     adapter: &str,
-    parts: &[Part],
+    parts: &[PromptSegment],
     holders: impl Iterator<Item = &'a Name>,
 ) -> Option<&'a Name> {
     // The last part is unique to the request.
