--- a/crates/comfreyhall-lease/src/lib.rs
+++ b/crates/comfreyhall-lease/src/lib.rs
@@ -1,24 +1,26 @@
 //! Leases with fencing tokens, kept as rows of the table service.
 //!
 //! A lease is one row that names its holder, a fencing token that grows with
-//! every new holder, and an id that changes with every renewal. All writes
-//! are conditional on the row's version, so of several takers one wins.
+//! every new holder, and an id that changes with every renewal. All writes are
+//! conditional on the row's version, so of several daemons that try to acquire
+//! the lease one wins.
 //!
-//! No clock is compared between machines. A holder trusts its lease until
-//! one term after it *sent* the last renewal that is known to have been
-//! applied; a taker waits until the row has not changed for one term since
-//! it last *saw* it change. The renewal is applied after it was sent and
-//! seen after it was applied, so the holder always stops first.
+//! No clock is compared between machines. A holder trusts its lease until one
+//! term after it *sent* the last renewal that is known to have been applied;
+//! another daemon waits until the row has not changed for one term since it
+//! last *saw* it change. The renewal is applied after it was sent and seen
+//! after it was applied, so the holder always stops first.
 //!
 //! What can go wrong, and what prevents it:
 //!
-//! - The holder is paused and its lease lapses without its knowledge. It
-//!   asks [`Lease::token`] before each order, which compares the clock
-//!   then; what it had sent before is refused by engines that check tokens.
+//! - The holder is paused and its lease expires without its knowledge. It calls
+//!   [`Lease::token`] before each command, which compares the clock then;
+//!   commands that it had already sent are rejected by engines that check
+//!   tokens.
 //! - The holder's process dies and its instance starts another: the new one
-//!   takes the lease at once, under a new token, because an instance never
-//!   runs two. Without it every restart stopped orders for one term.
-//! - The answer to a renewal or take-over is lost. The row is read at the
+//!   acquires the lease at once, under a new token, because an instance never
+//!   runs two. Otherwise every restart would stop commands for one term.
+//! - The answer to a renewal or acquisition is lost. The row is read at the
 //!   next step; only a write found in it extends the lease.
 
 use std::{
@@ -30,24 +32,24 @@
 use comfreyhall_protocol::Row;
 use serde::{Deserialize, Serialize};
 
-/// Owner of a row that holds no lease: no instance's id.
-const STRANGER: &str = "(unknown)";
+/// Owner of a row that does not contain a lease; not the id of any instance.
+const UNKNOWN_OWNER: &str = "(unknown)";
 
-/// Where leases are kept in the table.
-const PREFIX: &str = "lease/";
+/// Key prefix of lease rows.
+const KEY_PREFIX: &str = "lease/";
 
-/// What a lease row holds.
+/// Contents of a lease row.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 struct Record {
-    /// The holder; empty once it gave the lease back.
+    /// The holder; empty once the lease was released.
     owner: Arc<str>,
     /// Random id of the holder's process.
     boot: u64,
     /// Fencing token; grows with every new holder.
     token: u64,
-    /// Random id of the write. Two renewals in a row would else be equal,
+    /// Random id of the write. Otherwise two renewals in a row would be equal,
     /// and finding the earlier one would be taken for the later one, which
-    /// trusts the lease longer than others wait.
+    /// trusts the lease longer than other daemons wait.
     write: u64,
 }
 
@@ -58,16 +60,16 @@
     Held(u64),
     /// Another process.
     HeldByOther(Arc<str>),
-    /// Nobody.
+    /// No process.
     Free,
 }
 
-/// Which lease to take.
+/// Which leases a step may acquire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Want {
-    /// None; one that is held is renewed.
-    Nothing,
-    /// One that the process before this one held.
+enum Acquire {
+    /// None; a held lease is renewed.
+    Never,
+    /// One that the previous process of this instance held.
     Former,
     /// Any that is free.
     Free,
@@ -77,16 +79,16 @@
 struct State {
     row: Option<(Record, u64)>,
     /// When the row was last seen to change.
-    changed: Option<Instant>,
+    changed_at: Option<Instant>,
     /// The last write sent, and when.
-    sent: Option<(Record, Instant)>,
+    last_write: Option<(Record, Instant)>,
     /// Until when the lease may be trusted, if held.
-    until: Option<Instant>,
+    trusted_until: Option<Instant>,
     /// Whether `row` is what our last write left, so that it need not be read.
-    known: bool,
+    row_current: bool,
 }
 
-/// One process's side of one lease.
+/// One process's view of one lease.
 pub struct Lease<R: Rows = Table> {
     table: R,
     key: String,
@@ -96,17 +98,17 @@
     state: Mutex<State>,
 }
 
-/// The record of a row.
+/// Decodes a lease row.
 ///
-/// Others write to the table too. Without a record there is no token to count
-/// on from, and taking the lease would begin at a token that targets have
+/// Other writers may overwrite the row. Without a record the token to continue
+/// from is unknown, and a new lease would start at a token that targets have
 /// seen. Each token was written by a transaction of its own, and the row's
-/// version counts all of them, so the version is above every token given.
+/// version counts all of them, so the version is above every token issued.
 fn decode(key: &str, row: &Row) -> Record {
     serde_json::from_slice(&row.value).unwrap_or_else(|e| {
-        log::warn!(target: "lease", key, error:% = e; "row holds no lease; taken over after a term");
+        log::warn!(target: "lease", key, error:% = e; "row does not contain a lease; it can be acquired after one term");
         Record {
-            owner: STRANGER.into(),
+            owner: UNKNOWN_OWNER.into(),
             boot: 0,
             token: row.version,
             write: 0,
@@ -116,21 +118,21 @@
 
 /// Names of the leases in `table` whose last holder is `owner`, in one call.
 ///
-/// Asked one by one, the starts of 195 instances cost the table 975 calls for
-/// five leases.
+/// Reading them one by one, the starts of 195 instances cost the table 975
+/// calls for five leases.
 pub async fn leases_held_by<R: Rows>(table: &R, owner: &str) -> Result<Vec<String>, CatalogError> {
-    let rows = table.scan(PREFIX, "", 0).await?;
+    let rows = table.scan(KEY_PREFIX, "", 0).await?;
     let held = rows.iter().filter(|r| *decode(&r.key, r).owner == *owner);
-    let names = held.filter_map(|r| r.key.strip_prefix(PREFIX));
+    let names = held.filter_map(|r| r.key.strip_prefix(KEY_PREFIX));
     Ok(names.map(str::to_string).collect())
 }
 
 impl<R: Rows> Lease<R> {
-    /// The lease `name` in `table`, of length `term`, as `owner` sees it.
+    /// The lease `name` in `table` with a length of `term`, as seen by `owner`.
     pub fn new(table: R, name: &str, owner: Arc<str>, term: Duration) -> Self {
         Self {
             table,
-            key: format!("{PREFIX}{name}"),
+            key: format!("{KEY_PREFIX}{name}"),
             owner,
             boot: rand::random(),
             term,
@@ -142,26 +144,26 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    fn ours(&self, record: &Record) -> bool {
+    fn is_ours(&self, record: &Record) -> bool {
         record.owner == self.owner && record.boot == self.boot
     }
 
-    /// The fencing token to give an order at `now`, while the lease holds.
+    /// The fencing token for a command sent at `now`, while the lease is held.
     pub fn token(&self, now: Instant) -> Option<u64> {
         let state = self.state();
-        let held = state.until.is_some_and(|until| now < until);
+        let held = state.trusted_until.is_some_and(|end| now < end);
         let record = state.row.as_ref().map(|r| &r.0);
-        record.filter(|r| held && self.ours(r)).map(|r| r.token)
+        record.filter(|r| held && self.is_ours(r)).map(|r| r.token)
     }
 
-    /// The token of the last row seen, if that row is ours, lapsed or not.
+    /// The token of the last row seen, if that row is ours, expired or not.
     ///
-    /// Only for orders to targets that refuse tokens lower than one they
-    /// have seen: there the target itself stops a holder that was replaced.
+    /// Only for commands to targets that reject tokens lower than one they have
+    /// seen: there the target itself stops a holder that was replaced.
     pub fn lapsed_token(&self) -> Option<u64> {
         let state = self.state();
         let record = state.row.as_ref().map(|r| &r.0);
-        record.filter(|r| self.ours(r)).map(|r| r.token)
+        record.filter(|r| self.is_ours(r)).map(|r| r.token)
     }
 
     /// The highest token this process has seen; 0 before any.
@@ -175,34 +177,46 @@
             return LeaseStatus::Held(token);
         }
         match &self.state().row {
-            Some((r, _)) if !r.owner.is_empty() && !self.ours(r) => {
+            Some((r, _)) if !r.owner.is_empty() && !self.is_ours(r) => {
                 LeaseStatus::HeldByOther(r.owner.clone())
             }
             _ => LeaseStatus::Free,
         }
     }
 
-    /// Reads the row and renews the lease, or takes it if `want` and it is
-    /// free. To be called every third of a term or so.
-    pub async fn step(&self, clock: impl Fn() -> Instant, want: bool) -> Result<(), CatalogError> {
-        let want = if want { Want::Free } else { Want::Nothing };
-        self.act(clock, want).await
+    /// Reads the row and renews the lease, or acquires it if `acquire` and it
+    /// is free. To be called about every third of a term.
+    pub async fn step(
+        &self,
+        clock: impl Fn() -> Instant,
+        acquire: bool,
+    ) -> Result<(), CatalogError> {
+        let acquire = if acquire {
+            Acquire::Free
+        } else {
+            Acquire::Never
+        };
+        self.run_step(clock, acquire).await
     }
 
-    /// Takes the lease if the process before this one held it.
+    /// Acquires the lease if the previous process of this instance held it.
     ///
-    /// What goes wrong without it: all instances lose power, start again, and
-    /// each leaves the lease that was its own to others that seem better
-    /// placed, which wait a term for its owner: no orders for 3.4 s.
+    /// Without this, when all instances lose power and start again, each leaves
+    /// its former lease to another that seems better suited, which has to wait
+    /// a term for the former owner: no commands for 3.4 s.
     pub async fn reclaim(&self, clock: impl Fn() -> Instant) -> Result<(), CatalogError> {
-        self.act(clock, Want::Former).await
+        self.run_step(clock, Acquire::Former).await
     }
 
-    async fn act(&self, clock: impl Fn() -> Instant, want: Want) -> Result<(), CatalogError> {
+    async fn run_step(
+        &self,
+        clock: impl Fn() -> Instant,
+        acquire: Acquire,
+    ) -> Result<(), CatalogError> {
         let mut now = clock();
-        // A holder whose last write was answered knows the row: one call a
-        // renewal in place of two.
-        if !self.knows(now) {
+        // A holder whose last write was answered knows the row, so a renewal
+        // takes one call rather than two.
+        if !self.knows_row(now) {
             let found = self.table.get(&self.key).await?;
             let row = match found {
                 Some(row) => Some((decode(&self.key, &row), row.version)),
@@ -211,76 +225,78 @@
             now = clock();
             self.observe(row, now);
         }
-        let Some((next, version)) = self.next(now, want) else {
+        let Some((next, version)) = self.next_write(now, acquire) else {
             return Ok(());
         };
         self.write(next, version, now).await
     }
 
-    /// Whether the row is surely as our last write left it.
-    fn knows(&self, now: Instant) -> bool {
+    /// Whether the row is certain to be as our last write left it.
+    fn knows_row(&self, now: Instant) -> bool {
         let state = self.state();
-        state.known && state.until.is_some_and(|until| now < until)
+        state.row_current && state.trusted_until.is_some_and(|end| now < end)
     }
 
-    /// Takes over what the row says, as read at `now`.
+    /// Updates the state with the row as read at `now`.
     fn observe(&self, row: Option<(Record, u64)>, now: Instant) {
         let mut state = self.state();
-        if state.row != row || state.changed.is_none() {
-            state.changed = Some(now);
+        if state.row != row || state.changed_at.is_none() {
+            state.changed_at = Some(now);
         }
-        // A write of ours that was not answered is known now.
-        if let (Some((found, _)), Some((sent, at))) = (&row, &state.sent)
+        // Our last write was not answered, but the row shows that it was
+        // applied.
+        if let (Some((found, _)), Some((sent, at))) = (&row, &state.last_write)
             && found == sent
         {
-            state.until = Some(*at + self.term);
+            state.trusted_until = Some(*at + self.term);
         }
         state.row = row;
     }
 
     /// The write to make next, with the row version it is conditional on.
-    fn next(&self, now: Instant, want: Want) -> Option<(Record, u64)> {
+    fn next_write(&self, now: Instant, acquire: Acquire) -> Option<(Record, u64)> {
         let state = self.state();
-        let fresh = |token| Record {
+        let new_record = |token| Record {
             owner: self.owner.clone(),
             boot: self.boot,
             token,
             write: rand::random(),
         };
         let Some((record, version)) = &state.row else {
-            return (want == Want::Free).then(|| (fresh(1), 0));
+            return (acquire == Acquire::Free).then(|| (new_record(1), 0));
         };
-        if self.ours(record) {
-            // A lapsed lease is taken anew, with a new token: orders given
+        if self.is_ours(record) {
+            // An expired lease is acquired with a new token: commands sent
             // under the old one may still be on their way.
-            let held = state.until.is_some_and(|until| now < until);
+            let held = state.trusted_until.is_some_and(|end| now < end);
             let mut next = record.clone();
             next.write = rand::random();
             if !held {
                 next.token += 1;
             }
-            return (held || want == Want::Free).then_some((next, *version));
+            return (held || acquire == Acquire::Free).then_some((next, *version));
         }
-        let quiet = state
-            .changed
+        let unchanged = state
+            .changed_at
             .is_some_and(|at| now.saturating_duration_since(at) >= self.term);
-        // The owner's process before this one: an instance runs one, so it
-        // is dead, and nobody gives orders under its token any more.
+        // The row may belong to the previous process of this instance. An
+        // instance runs one process, so that one is dead, and nothing sends
+        // commands under its token any more.
         let former = record.owner == self.owner;
-        let free = record.owner.is_empty() || quiet;
-        let take = match want {
-            Want::Nothing => false,
-            Want::Former => former,
-            Want::Free => free || former,
+        let free = record.owner.is_empty() || unchanged;
+        let allowed = match acquire {
+            Acquire::Never => false,
+            Acquire::Former => former,
+            Acquire::Free => free || former,
         };
-        take.then(|| (fresh(record.token + 1), *version))
+        allowed.then(|| (new_record(record.token + 1), *version))
     }
 
     async fn write(&self, next: Record, version: u64, sent: Instant) -> Result<(), CatalogError> {
         {
             let mut state = self.state();
-            state.sent = Some((next.clone(), sent));
-            state.known = false;
+            state.last_write = Some((next.clone(), sent));
+            state.row_current = false;
         }
         let value = serde_json::to_vec(&next).expect("lease records serialise");
         let checks = vec![check(&self.key, version)];
@@ -289,32 +305,32 @@
                 let version = versions.first().copied().unwrap_or(0);
                 let mut state = self.state();
                 state.row = Some((next, version));
-                state.until = Some(sent + self.term);
-                state.known = true;
+                state.trusted_until = Some(sent + self.term);
+                state.row_current = true;
                 Ok(())
             }
-            // Another process was first; the next step sees who.
+            // Another process was first; the next step reads who.
             Err(CatalogError::Conflict { .. }) => Ok(()),
             Err(e) => Err(e),
         }
     }
 
-    /// Gives the lease back, so that another process need not wait a term.
+    /// Releases the lease, so that another process need not wait a term.
     pub async fn release(&self) -> Result<(), CatalogError> {
         let held = {
             let mut state = self.state();
-            state.until = None;
-            state.known = false;
+            state.trusted_until = None;
+            state.row_current = false;
             state.row.clone()
         };
-        let Some((mut record, version)) = held.filter(|(r, _)| self.ours(r)) else {
+        let Some((mut record, version)) = held.filter(|(r, _)| self.is_ours(r)) else {
             return Ok(());
         };
         record.owner = "".into();
         let value = serde_json::to_vec(&record).expect("lease records serialise");
         let checks = vec![check(&self.key, version)];
         match self.table.commit(checks, vec![put(&self.key, value)]).await {
-            // No longer ours, lapsed or not: whoever asks may take it.
+            // No longer ours, expired or not: any process may acquire it.
             Ok(_) | Err(CatalogError::Conflict { .. }) => {
                 self.state().row = None;
                 Ok(())
--- a/crates/comfreyhall-lease/tests/lease_fuzz.rs
+++ b/crates/comfreyhall-lease/tests/lease_fuzz.rs
@@ -1,8 +1,8 @@
-//! Stateful fuzzing of a lease: never two holders, tokens only grow.
+//! Stateful fuzzing of a lease: never two holders, and tokens only grow.
 //!
-//! Several processes step, pause and restart while time passes and calls to
-//! the table are lost, applied unheard, applied late or refused. The oracle
-//! remembers the highest token under which anyone could give an order.
+//! Several processes step, pause and restart while time passes and calls to the
+//! table are lost, applied without an answer, applied late or rejected. The
+//! oracle keeps the highest token under which any process could send a command.
 
 use std::time::{Duration, Instant};
 
@@ -17,16 +17,17 @@
 /// One step of the run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A process runs its lease task once; reading and writing take time.
+    /// A process runs its lease step once; reading and writing take time.
     Run {
         process: usize,
-        want: bool,
+        acquire: bool,
         takes_ms: u64,
         fates: Vec<Fate>,
     },
-    /// Time passes for everyone; who does not run meanwhile was paused.
+    /// Time passes for all processes; one that does not step meanwhile is
+    /// paused.
     Wait(u64),
-    /// A process gives the lease back.
+    /// A process releases the lease.
     Release { process: usize, fates: Vec<Fate> },
     /// A process restarts.
     Restart(usize),
@@ -34,7 +35,7 @@
     Deliver(usize),
 }
 
-/// The steps of a run.
+/// Generator of the steps.
 struct Run;
 
 impl Steps for Run {
@@ -44,7 +45,7 @@
         let p = 0..PROCESSES;
         prop_oneof![
             8 => (p.clone(), prop::bool::weighted(0.9), 0u64..300, fates(2))
-                .prop_map(|(process, want, takes_ms, fates)| Step::Run { process, want, takes_ms, fates }),
+                .prop_map(|(process, acquire, takes_ms, fates)| Step::Run { process, acquire, takes_ms, fates }),
             6 => (50u64..900).prop_map(Step::Wait),
             1 => (p.clone(), fates(2))
                 .prop_map(|(process, fates)| Step::Release { process, fates }),
@@ -64,7 +65,7 @@
     runtime: tokio::runtime::Runtime,
     now: std::cell::Cell<Instant>,
     processes: Vec<Process>,
-    /// Highest token anyone held, and who: the oracle.
+    /// Highest token that any process held, and which: the oracle.
     highest: (u64, usize),
 }
 
@@ -96,18 +97,18 @@
         match step {
             Step::Run {
                 process,
-                want,
+                acquire,
                 takes_ms,
                 fates,
             } => {
                 let p = &system.processes[process];
                 p.table.script(fates);
-                // The read takes time: the clock moves before it is asked.
+                // The read takes time: the clock moves before it is queried.
                 let clock = || {
                     pass(takes_ms);
                     system.now.get()
                 };
-                let _ = system.runtime.block_on(p.lease.step(clock, want));
+                let _ = system.runtime.block_on(p.lease.step(clock, acquire));
                 pass(takes_ms / 2);
                 p.table.heal();
             }
--- a/crates/comfreyhall-lease/tests/release.rs
+++ b/crates/comfreyhall-lease/tests/release.rs
@@ -1,4 +1,4 @@
-//! Giving a lease back.
+//! Release, takeover and reclaim of a lease.
 
 use std::{
     sync::Arc,
@@ -15,11 +15,11 @@
     Lease::new(table.clone(), "g", Arc::from(owner), TERM)
 }
 
-/// Symptom: in a row of planned stops no adapter was loaded in a failure
-/// domain for five to eight seconds at a time. Events: a holder is told to
-/// stop, gives its lease back, and serves on until its streams end. Cause: it
-/// went on telling the others that it holds the lease, as one that lapsed
-/// would, so nobody took it until the process had ended.
+/// Guards against a holder that goes on announcing a lease after it released
+/// it: it serves on until its streams end, and announced the lease like one
+/// that had expired, so no other process acquired it until it had ended. In a
+/// series of planned stops no adapter was loaded in a failure domain for five
+/// to eight seconds at a time.
 #[tokio::test]
 async fn release_leaves_no_lapsed_token() {
     let table = FakeTable::default();
@@ -32,9 +32,9 @@
     assert!(next.token(Instant::now()).unwrap() > token);
 }
 
-/// A lease that could not be given back is handed on under its token.
+/// A lease that could not be released is passed on under its token.
 #[tokio::test]
-async fn release_unheard_keeps_lapsed_token() {
+async fn release_failed_keeps_lapsed_token() {
     let table = FakeTable::default();
     let old = lease(&table, "old");
     old.step(Instant::now, true).await.unwrap();
@@ -44,10 +44,9 @@
     assert_eq!(old.lapsed_token(), token);
 }
 
-/// Symptom: the loads of a failure domain stood still for good. Events:
-/// another writer puts a row that is no lease in the place of one. Cause: every
-/// step ended at the row that it could not read. Whoever takes it must not
-/// begin at a token that engines have seen.
+/// Guards against a foreign row in place of a lease, which stopped the loads of
+/// a failure domain for good: every step failed on the row that it could not
+/// decode. The next holder must not start at a token that engines have seen.
 #[tokio::test]
 async fn step_foreign_row_taken_after_term() {
     let table = FakeTable::default();
@@ -64,11 +63,10 @@
     assert!(next.token(later).unwrap() > token);
 }
 
-/// Symptom: no adapter was loaded in a failure domain for 3.4 s after all
-/// instances had lost power. Events: the holder starts again beside an
-/// instance that is better placed, leaves the lease to it, and that one waits
-/// for a term, as the holder might still live. Cause: only a process that wanted
-/// any free lease looked whose it had been.
+/// Guards against a gap after a power loss: the holder starts again beside an
+/// instance that is better suited, leaves the lease to it, and that one waits
+/// for a term because the holder might still be alive. No adapter was loaded in
+/// a failure domain for 3.4 s after all instances had lost power.
 #[tokio::test]
 async fn reclaim_only_own_former_lease() {
     let table = FakeTable::default();
@@ -82,11 +80,11 @@
     assert!(again.token(Instant::now()).unwrap() > token);
 }
 
-/// Symptom: the starts of 195 instances cost the table 975 calls for five
-/// leases. Events: each looks whether one of them was its own. Cause: it asked
-/// for them one by one.
+/// Guards against one read per lease at start: the starts of 195 instances,
+/// each of which checked whether a lease was its own, cost the table 975 calls
+/// for five leases.
 #[tokio::test]
-async fn held_by_names_own_leases() {
+async fn leases_held_by_returns_own() {
     let table = FakeTable::default();
     for (name, owner) in [("a", "old"), ("b", "other"), ("c", "old")] {
         let lease = Lease::new(table.clone(), name, Arc::from(owner), TERM);
--- a/crates/comfreyhall-quarantine/src/fingerprint.rs
+++ b/crates/comfreyhall-quarantine/src/fingerprint.rs
@@ -1,24 +1,24 @@
-//! What tells that two attempts are the same request.
+//! Identifies a request across its attempts.
 //!
-//! Each attempt of a caller has an id of its own, so the id cannot tell. The
-//! fingerprint is a cryptographic hash over everything that makes a request
-//! what it is, its caller among it: nobody can make up a body whose
-//! fingerprint is that of somebody else's request.
+//! Each attempt of a caller has its own id, so the id cannot identify the
+//! request. The fingerprint is a cryptographic hash over everything that
+//! defines a request, including its caller: nobody can construct a body whose
+//! fingerprint equals that of another caller's request.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes kept of the hash: finding two inputs that share them takes 2^64
-/// tries, and evidence stays small enough to be told to every daemon.
-const BYTES: usize = 16;
+/// Bytes kept of the hash: finding two inputs that share them takes 2^64 tries,
+/// and evidence stays small enough to be sent to every daemon.
+const LEN: usize = 16;
 
 /// Bytes shown in logs.
-const SHOWN: usize = 6;
+const LOG_LEN: usize = 6;
 
-/// The identity of a request over all its attempts.
+/// The identity of a request across all its attempts.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; LEN]);
 
 impl Fingerprint {
     /// The fingerprint of the request that consists of `parts`, in this order.
@@ -30,17 +30,18 @@
             hash.update(part);
         }
         let whole = hash.finalize();
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&whole[..BYTES]);
+        let mut bytes = [0; LEN];
+        bytes.copy_from_slice(&whole[..LEN]);
         Self(bytes)
     }
 
-    /// Its bytes, to be told to another daemon.
+    /// Its bytes, as sent to other daemons.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// A fingerprint that another daemon told; `None` if it is none.
+    /// A fingerprint received from another daemon; `None` if the length is
+    /// wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         Some(Self(bytes.try_into().ok()?))
     }
@@ -48,7 +49,7 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = self.0.iter().take(SHOWN);
+        let shown = self.0.iter().take(LOG_LEN);
         shown.into_iter().try_for_each(|b| write!(f, "{b:02x}"))
     }
 }
--- a/crates/comfreyhall-quarantine/src/quarantine.rs
+++ b/crates/comfreyhall-quarantine/src/quarantine.rs
@@ -1,81 +1,81 @@
-//! What one daemon knows of requests that end targets.
+//! One daemon's knowledge of requests that end targets.
 
 use comfreyhall_domain::{Map, Name, Set};
 
 use crate::{
     Fingerprint,
-    case::{Case, Cleared, Evidence, Observation, TargetEnd},
-    weigh::{self, ENDS},
+    attribution::{self, REQUIRED_ENDS},
+    case::{Case, Completion, Evidence, Observation, TargetEnd},
 };
 
-/// How long evidence is kept after the last that was seen of a request, in
-/// ms: such a request may come again after minutes, and each time it were
-/// forgotten it would end three more targets.
-const FORGET_MS: u64 = 3_600_000;
+/// How long evidence is kept after the last observation of a request. Such a
+/// request may come again after minutes, and each time it were forgotten it
+/// would end three more targets.
+const EVIDENCE_TTL_MS: u64 = 3_600_000;
 
 /// Ends kept over all requests. A crash leaves one for each request that was
 /// there, some dozens; this many take less than a megabyte.
-const MOST_ENDS: usize = 4_096;
+const MAX_ENDS: usize = 4_096;
 
-/// How long after the last end under it a request that is held back is tried
-/// again, in ms: engines take seconds to come back, and one that is held back
-/// wrongly is not to wait for minutes.
-const TRIAL_MS: u64 = 30_000;
+/// How long after the last end under it a quarantined request is tried again:
+/// engines take seconds to come back, and a request that is quarantined wrongly
+/// should not wait for minutes.
+const TRIAL_DELAY_MS: u64 = 30_000;
 
-/// How much later each next daemon may make the trial, in ms.
+/// Additional delay of the trial for each further daemon.
 ///
-/// What goes wrong without it: all daemons let the request go at the same
-/// moment, several copies are on their way before the first has ended its
-/// target, and each costs one.
+/// Without it, all daemons release the request at the same moment, several
+/// copies are on their way before the first has ended its target, and each
+/// costs one.
 const STAGGER_MS: u64 = 5_000;
 
-/// Least time after which the caller of a request that is held back is told
-/// to come back, in ms.
-const LEAST_RETRY_MS: u64 = 5_000;
+/// Minimum retry delay for the caller of a quarantined request.
+const MIN_RETRY_MS: u64 = 5_000;
 
-/// Findings told in one message.
-const MOST_TOLD: usize = 512;
+/// Maximum number of observations in one message.
+const MAX_MESSAGE_LEN: usize = 512;
 
 /// What may be done with a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// It may be sent like any other.
     Allowed,
-    /// It may be sent once, to see whether it is to blame; not by two at once.
+    /// It may be sent once, to test whether it is the cause; not by two daemons
+    /// at once.
     Trial,
-    /// It is not sent.
+    /// It must not be sent.
     Quarantined {
-        /// When its caller may come back, in ms.
+        /// When its caller may retry, in ms.
         retry_ms: u64,
     },
 }
 
-/// What evidence changed.
+/// A change caused by evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// A target ended under it that was not known of.
+    /// Another target ended under it.
     Suspected(Fingerprint),
-    /// It is held back from now on.
+    /// It is quarantined from now on.
     Quarantined(Fingerprint),
-    /// It is held back no longer.
+    /// It is quarantined no longer.
     Released(Fingerprint),
 }
 
-/// How far a daemon has heard what another knows.
+/// How much of another daemon's evidence a daemon has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SyncPosition {
-    /// Which process of the other; what another process of it told is gone.
+    /// Identifies the other process; evidence from an earlier process is gone.
     pub boot: u64,
-    /// Number of the last finding heard.
+    /// Sequence number of the last observation received.
     pub serial: u64,
 }
 
-/// Under which requests targets ended, as far as one daemon knows.
+/// One daemon's evidence and the requests quarantined by it.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: Map<Fingerprint, Case>,
-    held: Set<Fingerprint>,
-    /// Number of the newest finding.
+    quarantined: Set<Fingerprint>,
+    /// Sequence number of the newest observation.
     serial: u64,
 }
 
@@ -92,9 +92,9 @@
             .is_some_and(|c| !c.ends.is_empty())
     }
 
-    /// Whether `fingerprint` is held back, but for trials.
+    /// Whether `fingerprint` is quarantined, except for trials.
     pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
-        self.held.contains(fingerprint)
+        self.quarantined.contains(fingerprint)
     }
 
     /// The targets that ended under `fingerprint`.
@@ -102,15 +102,15 @@
         self.cases.get(fingerprint).map_or(&[], |c| &c.ends)
     }
 
-    /// Number of the newest finding.
+    /// Sequence number of the newest observation.
     pub fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Takes in what this daemon or another has seen. Nothing happens if it is
-    /// known, too old, or older than the last time the request ran whole.
+    /// Records an observation of this daemon or another. Does nothing if it is
+    /// known, too old, or older than the last completion of the request.
     pub fn record(&mut self, evidence: Evidence, now: u64) -> Vec<Change> {
-        if now.saturating_sub(evidence.at_ms) >= FORGET_MS {
+        if now.saturating_sub(evidence.at_ms) >= EVIDENCE_TTL_MS {
             return Vec::new();
         }
         let fingerprint = evidence.fingerprint;
@@ -118,7 +118,7 @@
         let case = self.cases.entry(fingerprint).or_default();
         let (new, suspect) = match evidence.observation {
             Observation::TargetEnded { target, early } => {
-                let new = case.end(TargetEnd {
+                let new = case.add_end(TargetEnd {
                     target,
                     early,
                     at_ms: evidence.at_ms,
@@ -128,12 +128,12 @@
                 (new, new)
             }
             Observation::Completed => {
-                let cleared = Cleared {
-                    at: evidence.at_ms,
-                    witness: evidence.observer,
+                let completion = Completion {
+                    at_ms: evidence.at_ms,
+                    observer: evidence.observer,
                     serial,
                 };
-                (case.clear(cleared), false)
+                (case.record_completion(completion), false)
             }
         };
         if !new {
@@ -144,24 +144,24 @@
         if suspect {
             changes.push(Change::Suspected(fingerprint));
         }
-        self.bound();
-        changes.extend(self.weigh());
+        self.drop_excess();
+        changes.extend(self.reevaluate());
         changes
     }
 
-    /// Forgets what is too old.
+    /// Drops evidence that is too old.
     pub fn expire(&mut self, now: u64) -> Vec<Change> {
         let before = self.cases.len();
         self.cases
-            .retain(|_, c| now.saturating_sub(c.last()) < FORGET_MS);
+            .retain(|_, c| now.saturating_sub(c.last_ms()) < EVIDENCE_TTL_MS);
         match self.cases.len() == before {
             true => Vec::new(),
-            false => self.weigh(),
+            false => self.reevaluate(),
         }
     }
 
-    /// What may be done with `fingerprint` at a daemon that is the `rank`th to try
-    /// it again; 0 is first.
+    /// What may be done with `fingerprint` at the daemon that is the `rank`th
+    /// to try it again; 0 is first.
     pub fn status(&self, fingerprint: &Fingerprint, rank: usize, now: u64) -> Status {
         let Some(case) = self
             .cases
@@ -170,98 +170,112 @@
         else {
             return Status::Allowed;
         };
-        let Some(due) = trial_at(case, rank) else {
-            let forgotten = case.last_end() + FORGET_MS;
-            return held_for(forgotten.saturating_sub(now));
+        let Some(due) = trial_time_ms(case, rank) else {
+            let expires_at = case.last_end_ms() + EVIDENCE_TTL_MS;
+            return quarantined_for(expires_at.saturating_sub(now));
         };
         match due.saturating_sub(now) {
             0 => Status::Trial,
-            ms => held_for(ms),
+            ms => quarantined_for(ms),
         }
     }
 
-    /// What to tell a daemon that has heard all findings up to `serial`, with
-    /// the number of the last one told.
+    /// Evidence for a daemon that has received all observations up to `serial`,
+    /// with the number of the last one returned.
     pub fn evidence_since(&self, serial: u64) -> (Vec<Evidence>, u64) {
         if serial >= self.serial {
             return (Vec::new(), self.serial);
         }
-        let told = self
+        let evidence_list = self
             .cases
             .iter()
-            .flat_map(|(fingerprint, case)| findings(*fingerprint, case));
-        let mut told: Vec<(u64, Evidence)> = told.filter(|(s, _)| *s > serial).collect();
-        told.sort_by_key(|(s, _)| *s);
-        let last = match told.get(MOST_TOLD.saturating_sub(1)) {
-            Some((s, _)) if told.len() > MOST_TOLD => *s,
+            .flat_map(|(fingerprint, case)| observations(*fingerprint, case));
+        let mut evidence_list: Vec<(u64, Evidence)> =
+            evidence_list.filter(|(s, _)| *s > serial).collect();
+        evidence_list.sort_by_key(|(s, _)| *s);
+        let last = match evidence_list.get(MAX_MESSAGE_LEN.saturating_sub(1)) {
+            Some((s, _)) if evidence_list.len() > MAX_MESSAGE_LEN => *s,
             _ => self.serial,
         };
-        let told = told.into_iter().filter(|(s, _)| *s <= last);
-        (told.map(|(_, e)| e).collect(), last)
+        let evidence_list = evidence_list.into_iter().filter(|(s, _)| *s <= last);
+        (evidence_list.map(|(_, e)| e).collect(), last)
     }
 
-    /// Drops the oldest cases beyond the bound, those that are not held back
-    /// first.
-    fn bound(&mut self) {
+    /// Drops the oldest cases beyond the bound, starting with those that are
+    /// not quarantined.
+    fn drop_excess(&mut self) {
         let mut ends: usize = self.cases.values().map(|c| c.ends.len()).sum();
-        while ends > MOST_ENDS || self.cases.len() > MOST_ENDS {
+        while ends > MAX_ENDS || self.cases.len() > MAX_ENDS {
             let oldest = self
                 .cases
                 .iter()
-                .min_by_key(|(p, c)| (self.held.contains(*p), c.last(), **p));
-            let Some(fingerprint) = oldest.map(|(p, _)| *p) else {
+                .min_by_key(|(f, c)| (self.quarantined.contains(*f), c.last_ms(), **f));
+            let Some(fingerprint) = oldest.map(|(f, _)| *f) else {
                 return;
             };
-            let gone = self.cases.remove(&fingerprint);
-            ends -= gone.map_or(0, |c| c.ends.len());
+            let removed = self.cases.remove(&fingerprint);
+            ends -= removed.map_or(0, |c| c.ends.len());
         }
     }
 
-    /// Decides anew who is held back.
-    fn weigh(&mut self) -> Vec<Change> {
-        let held = weigh::held(&self.cases);
-        let begun = held.difference(&self.held).map(|p| Change::Quarantined(*p));
-        let ended = self.held.difference(&held).map(|p| Change::Released(*p));
-        let mut changes: Vec<Change> = begun.chain(ended).collect();
+    /// Reevaluates which requests are quarantined.
+    fn reevaluate(&mut self) -> Vec<Change> {
+        let quarantined = attribution::quarantined(&self.cases);
+        let started = quarantined
+            .difference(&self.quarantined)
+            .map(|f| Change::Quarantined(*f));
+        let released = self
+            .quarantined
+            .difference(&quarantined)
+            .map(|f| Change::Released(*f));
+        let mut changes: Vec<Change> = started.chain(released).collect();
         changes.sort_by_key(|c| match c {
-            Change::Suspected(p) | Change::Quarantined(p) | Change::Released(p) => *p,
+            Change::Suspected(f) | Change::Quarantined(f) | Change::Released(f) => *f,
         });
-        self.held = held;
+        self.quarantined = quarantined;
         changes
     }
 }
 
-fn held_for(ms: u64) -> Status {
+fn quarantined_for(ms: u64) -> Status {
     Status::Quarantined {
-        retry_ms: ms.max(LEAST_RETRY_MS),
+        retry_ms: ms.max(MIN_RETRY_MS),
     }
 }
 
-/// When the daemon that is the `rank`th to try it may do so; `None` if nobody
-/// may: a trial of the one that is to blame costs an engine and what runs there,
-/// and whatever ended more targets than were needed has had its trial.
-fn trial_at(case: &Case, rank: usize) -> Option<u64> {
-    let may = case.ends.len() <= ENDS;
-    may.then(|| case.last_end() + TRIAL_MS + rank as u64 * STAGGER_MS)
+/// When the daemon that is the `rank`th to try it may do so. `None` if no
+/// daemon may: a trial of the request that is the cause costs an engine and
+/// what runs there, and one that ended more targets than were needed has had
+/// its trial.
+fn trial_time_ms(case: &Case, rank: usize) -> Option<u64> {
+    let allowed = case.ends.len() <= REQUIRED_ENDS;
+    allowed.then(|| case.last_end_ms() + TRIAL_DELAY_MS + rank as u64 * STAGGER_MS)
 }
 
-/// Everything that is known of a request, with the numbers of the findings.
-fn findings(fingerprint: Fingerprint, case: &Case) -> impl Iterator<Item = (u64, Evidence)> + '_ {
-    let evidence = move |finding, at, witness: &Name| Evidence {
+/// All observations of a request, with their sequence numbers.
+fn observations(
+    fingerprint: Fingerprint,
+    case: &Case,
+) -> impl Iterator<Item = (u64, Evidence)> + '_ {
+    let evidence = move |observation, at_ms, observer: &Name| Evidence {
         fingerprint,
-        observation: finding,
-        at_ms: at,
-        observer: witness.clone(),
+        observation,
+        at_ms,
+        observer: observer.clone(),
     };
     let ends = case.ends.iter().map(move |e| {
-        let finding = Observation::TargetEnded {
+        let observation = Observation::TargetEnded {
             target: e.target.clone(),
             early: e.early,
         };
-        (e.serial, evidence(finding, e.at_ms, &e.observer))
+        (e.serial, evidence(observation, e.at_ms, &e.observer))
+    });
+    let completion = case.completion.iter();
+    let completion = completion.map(move |c| {
+        (
+            c.serial,
+            evidence(Observation::Completed, c.at_ms, &c.observer),
+        )
     });
-    let cleared = case.cleared.iter();
-    let cleared =
-        cleared.map(move |c| (c.serial, evidence(Observation::Completed, c.at, &c.witness)));
-    cleared.chain(ends)
+    completion.chain(ends)
 }
--- a/crates/comfreyhall-quarantine/src/tests.rs
+++ b/crates/comfreyhall-quarantine/src/tests.rs
@@ -15,48 +15,60 @@
     }
 }
 
-fn ran_whole(fingerprint: Fingerprint, at: u64) -> Evidence {
+fn completed(fingerprint: Fingerprint, at: u64) -> Evidence {
     Evidence {
         observation: Observation::Completed,
         ..ended(fingerprint, "", at)
     }
 }
 
-/// A quarantine that knows of `ends`, each a request and a target.
-fn knowing(ends: &[(Fingerprint, &str)]) -> Quarantine {
-    let mut known = Quarantine::default();
+/// A quarantine with the evidence `ends`, each a request and a target.
+fn quarantine_with(ends: &[(Fingerprint, &str)]) -> Quarantine {
+    let mut quarantine = Quarantine::default();
     for (fingerprint, target) in ends {
-        known.record(ended(*fingerprint, target, SECOND), SECOND);
+        quarantine.record(ended(*fingerprint, target, SECOND), SECOND);
     }
-    known
+    quarantine
 }
 
-fn is_held(known: &Quarantine, fingerprint: Fingerprint) -> bool {
+fn is_quarantined(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
     matches!(
-        known.status(&fingerprint, 0, SECOND),
+        quarantine.status(&fingerprint, 0, SECOND),
         Status::Quarantined { .. }
     )
 }
 
-fn of(parts: &[&str]) -> Fingerprint {
+fn fingerprint_of(parts: &[&str]) -> Fingerprint {
     Fingerprint::of(parts.iter().map(|p| p.as_bytes()))
 }
 
 #[test]
 fn fingerprint_same_request() {
-    assert_eq!(of(&["h", "/p", "body"]), of(&["h", "/p", "body"]));
+    assert_eq!(
+        fingerprint_of(&["h", "/p", "body"]),
+        fingerprint_of(&["h", "/p", "body"])
+    );
 }
 
 #[test]
 fn fingerprint_parts_keep_their_bounds() {
-    assert_ne!(of(&["h", "/pb", "ody"]), of(&["h", "/p", "body"]));
-    assert_ne!(of(&["h", "/p", "body"]), of(&["i", "/p", "body"]));
-    assert_ne!(of(&["h", "", "/p"]), of(&["h", "/p", ""]));
+    assert_ne!(
+        fingerprint_of(&["h", "/pb", "ody"]),
+        fingerprint_of(&["h", "/p", "body"])
+    );
+    assert_ne!(
+        fingerprint_of(&["h", "/p", "body"]),
+        fingerprint_of(&["i", "/p", "body"])
+    );
+    assert_ne!(
+        fingerprint_of(&["h", "", "/p"]),
+        fingerprint_of(&["h", "/p", ""])
+    );
 }
 
 #[test]
-fn fingerprint_told_and_heard() {
-    let fingerprint = of(&["h"]);
+fn fingerprint_bytes_round_trip() {
+    let fingerprint = fingerprint_of(&["h"]);
     assert_eq!(
         Fingerprint::from_bytes(fingerprint.as_bytes()),
         Some(fingerprint)
@@ -65,16 +77,16 @@
 }
 
 #[test]
-fn learn_three_ends_hold() {
-    let fingerprint = of(&["deadly"]);
-    let mut known = Quarantine::default();
+fn record_three_ends_quarantine() {
+    let fingerprint = fingerprint_of(&["deadly"]);
+    let mut quarantine = Quarantine::default();
     let suspect = [Change::Suspected(fingerprint)];
-    assert_eq!(known.record(ended(fingerprint, "a", 1), 1), suspect);
-    assert_eq!(known.record(ended(fingerprint, "b", 2), 2), suspect);
-    // The same end, told again by another.
-    assert!(known.record(ended(fingerprint, "b", 3), 3).is_empty());
-    assert_eq!(known.status(&fingerprint, 0, 3), Status::Allowed);
-    let changes = known.record(ended(fingerprint, "c", 4), 4);
+    assert_eq!(quarantine.record(ended(fingerprint, "a", 1), 1), suspect);
+    assert_eq!(quarantine.record(ended(fingerprint, "b", 2), 2), suspect);
+    // The same end, reported again by another daemon.
+    assert!(quarantine.record(ended(fingerprint, "b", 3), 3).is_empty());
+    assert_eq!(quarantine.status(&fingerprint, 0, 3), Status::Allowed);
+    let changes = quarantine.record(ended(fingerprint, "c", 4), 4);
     assert_eq!(
         changes,
         [
@@ -82,39 +94,41 @@
             Change::Quarantined(fingerprint)
         ]
     );
-    assert!(is_held(&known, fingerprint));
+    assert!(is_quarantined(&quarantine, fingerprint));
 }
 
-/// Symptom: a request that harms nobody was held back. Events: it ran beside
-/// one that ends its engines, was sent on to the next engine with it, and came
-/// again. Cause: each end counted against all that were there.
+/// Guards against quarantining a harmless request that ran beside one that ends
+/// its engines, was sent with it to the next engine, and came again: an end is
+/// evidence against all requests that were there.
 #[test]
-fn learn_bystander_stays_free() {
-    let (deadly, beside) = (of(&["deadly"]), of(&["beside"]));
-    let mut known = knowing(&[(deadly, "a"), (deadly, "b"), (deadly, "c"), (deadly, "d")]);
+fn record_bystander_stays_allowed() {
+    let (deadly, bystander) = (fingerprint_of(&["deadly"]), fingerprint_of(&["beside"]));
+    let mut quarantine =
+        quarantine_with(&[(deadly, "a"), (deadly, "b"), (deadly, "c"), (deadly, "d")]);
     for target in ["a", "b", "c"] {
-        known.record(ended(beside, target, SECOND), SECOND);
+        quarantine.record(ended(bystander, target, SECOND), SECOND);
     }
-    assert!(is_held(&known, deadly));
-    assert!(!is_held(&known, beside));
+    assert!(is_quarantined(&quarantine, deadly));
+    assert!(!is_quarantined(&quarantine, bystander));
 }
 
-/// A bystander that was told of first is let go once the cause is known.
+/// A bystander whose evidence arrived first is released once the cause is
+/// known.
 #[test]
-fn learn_explanation_lets_go() {
-    let (deadly, beside) = (of(&["deadly"]), of(&["beside"]));
-    let mut known = knowing(&[(beside, "a"), (beside, "b"), (beside, "c")]);
-    assert!(is_held(&known, beside));
-    let told = ["a", "b", "c", "d"].map(|t| known.record(ended(deadly, t, SECOND), SECOND));
-    assert!(told.concat().contains(&Change::Released(beside)));
-    assert!(is_held(&known, deadly));
+fn record_explanation_releases() {
+    let (deadly, bystander) = (fingerprint_of(&["deadly"]), fingerprint_of(&["beside"]));
+    let mut quarantine = quarantine_with(&[(bystander, "a"), (bystander, "b"), (bystander, "c")]);
+    assert!(is_quarantined(&quarantine, bystander));
+    let changes = ["a", "b", "c", "d"].map(|t| quarantine.record(ended(deadly, t, SECOND), SECOND));
+    assert!(changes.concat().contains(&Change::Released(bystander)));
+    assert!(is_quarantined(&quarantine, deadly));
 }
 
-/// What one request explains does not free it from what nothing explains.
+/// Ends that one request explains do not clear another of the unexplained ones.
 #[test]
-fn learn_two_deadly_requests_both_held() {
-    let (one, two) = (of(&["one"]), of(&["two"]));
-    let known = knowing(&[
+fn record_two_deadly_requests_both_quarantined() {
+    let (one, two) = (fingerprint_of(&["one"]), fingerprint_of(&["two"]));
+    let quarantine = quarantine_with(&[
         (one, "a"),
         (one, "b"),
         (one, "c"),
@@ -124,60 +138,78 @@
         (two, "f"),
         (two, "g"),
     ]);
-    assert!(is_held(&known, one));
-    assert!(is_held(&known, two));
+    assert!(is_quarantined(&quarantine, one));
+    assert!(is_quarantined(&quarantine, two));
 }
 
 #[test]
-fn learn_ran_whole_lets_go() {
-    let fingerprint = of(&["beside"]);
-    let mut known = knowing(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
-    let changes = known.record(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
+fn record_completion_releases() {
+    let fingerprint = fingerprint_of(&["beside"]);
+    let mut quarantine =
+        quarantine_with(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
+    let changes = quarantine.record(completed(fingerprint, 2 * SECOND), 2 * SECOND);
     assert_eq!(changes, [Change::Released(fingerprint)]);
-    // Older evidence that comes late changes nothing.
+    // Older evidence that arrives late changes nothing.
     assert!(
-        known
+        quarantine
             .record(ended(fingerprint, "d", SECOND), 2 * SECOND)
             .is_empty()
     );
-    assert!(!known.is_suspect(&fingerprint));
+    assert!(!quarantine.is_suspect(&fingerprint));
 }
 
-/// Two daemons whose clocks round differently stop telling each other.
+/// Guards against two daemons that send each other the same observation for
+/// ever because their clocks round differently.
 #[test]
-fn learn_ran_whole_once() {
-    let fingerprint = of(&["beside"]);
-    let mut known = knowing(&[(fingerprint, "a")]);
-    known.record(ran_whole(fingerprint, 2 * SECOND), 2 * SECOND);
-    let serial = known.serial();
-    known.record(ran_whole(fingerprint, 2 * SECOND + 7), 2 * SECOND + 7);
-    assert_eq!(known.serial(), serial);
+fn record_completion_once() {
+    let fingerprint = fingerprint_of(&["beside"]);
+    let mut quarantine = quarantine_with(&[(fingerprint, "a")]);
+    quarantine.record(completed(fingerprint, 2 * SECOND), 2 * SECOND);
+    let serial = quarantine.serial();
+    quarantine.record(completed(fingerprint, 2 * SECOND + 7), 2 * SECOND + 7);
+    assert_eq!(quarantine.serial(), serial);
 }
 
 #[test]
 fn status_one_trial_in_turn() {
-    let fingerprint = of(&["deadly"]);
-    let mut known = knowing(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
-    assert_eq!(known.status(&fingerprint, 0, 31 * SECOND), Status::Trial);
+    let fingerprint = fingerprint_of(&["deadly"]);
+    let mut quarantine =
+        quarantine_with(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
+    assert_eq!(
+        quarantine.status(&fingerprint, 0, 31 * SECOND),
+        Status::Trial
+    );
     // The next daemon waits for the first.
-    assert_ne!(known.status(&fingerprint, 1, 31 * SECOND), Status::Trial);
-    assert_eq!(known.status(&fingerprint, 1, 36 * SECOND), Status::Trial);
-    known.record(ended(fingerprint, "d", 31 * SECOND), 31 * SECOND);
-    // No trial any more until it is forgotten.
-    assert_ne!(known.status(&fingerprint, 0, 62 * SECOND), Status::Trial);
-    assert_ne!(known.status(&fingerprint, 0, 3_000 * SECOND), Status::Trial);
-    let changes = known.expire(31 * SECOND + HOUR);
+    assert_ne!(
+        quarantine.status(&fingerprint, 1, 31 * SECOND),
+        Status::Trial
+    );
+    assert_eq!(
+        quarantine.status(&fingerprint, 1, 36 * SECOND),
+        Status::Trial
+    );
+    quarantine.record(ended(fingerprint, "d", 31 * SECOND), 31 * SECOND);
+    // No further trial until it is forgotten.
+    assert_ne!(
+        quarantine.status(&fingerprint, 0, 62 * SECOND),
+        Status::Trial
+    );
+    assert_ne!(
+        quarantine.status(&fingerprint, 0, 3_000 * SECOND),
+        Status::Trial
+    );
+    let changes = quarantine.expire(31 * SECOND + HOUR);
     assert_eq!(changes, [Change::Released(fingerprint)]);
-    assert!(known.is_empty());
+    assert!(quarantine.is_empty());
 }
 
 #[test]
-fn status_held_caller_comes_back_late() {
-    let fingerprint = of(&["deadly"]);
-    let known = knowing(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
-    let held = known.status(&fingerprint, 0, 2 * SECOND);
+fn status_quarantined_caller_retries_late() {
+    let fingerprint = fingerprint_of(&["deadly"]);
+    let quarantine = quarantine_with(&[(fingerprint, "a"), (fingerprint, "b"), (fingerprint, "c")]);
+    let status = quarantine.status(&fingerprint, 0, 2 * SECOND);
     assert_eq!(
-        held,
+        status,
         Status::Quarantined {
             retry_ms: 29 * SECOND
         }
@@ -185,40 +217,40 @@
 }
 
 #[test]
-fn since_tells_each_finding_once() {
-    let fingerprint = of(&["deadly"]);
-    let mut known = knowing(&[(fingerprint, "a"), (fingerprint, "b")]);
-    let (told, last) = known.evidence_since(0);
-    assert_eq!(told.len(), 2);
-    assert!(known.evidence_since(last).0.is_empty());
-    known.record(ended(fingerprint, "c", SECOND), SECOND);
-    let (told, _) = known.evidence_since(last);
-    assert_eq!(told, [ended(fingerprint, "c", SECOND)]);
-}
-
-/// Symptom: a daemon grows until it is killed. Events: a caller sends a million
-/// bodies that each end a target. Cause: what is remembered had no bound. What
-/// is not held back falls out first, the oldest before the others.
+fn evidence_since_returns_each_once() {
+    let fingerprint = fingerprint_of(&["deadly"]);
+    let mut quarantine = quarantine_with(&[(fingerprint, "a"), (fingerprint, "b")]);
+    let (returned, last) = quarantine.evidence_since(0);
+    assert_eq!(returned.len(), 2);
+    assert!(quarantine.evidence_since(last).0.is_empty());
+    quarantine.record(ended(fingerprint, "c", SECOND), SECOND);
+    let (returned, _) = quarantine.evidence_since(last);
+    assert_eq!(returned, [ended(fingerprint, "c", SECOND)]);
+}
+
+/// Guards against unbounded memory: a caller sends thousands of bodies that
+/// each end a target. Requests that are not quarantined are dropped first, the
+/// oldest before the others.
 #[test]
-fn learn_million_bodies_bounded() {
-    let deadly = of(&["deadly"]);
-    let mut known = knowing(&[(deadly, "a"), (deadly, "b"), (deadly, "c")]);
-    let first = of(&["body", "0"]);
+fn record_many_fingerprints_bounded() {
+    let deadly = fingerprint_of(&["deadly"]);
+    let mut quarantine = quarantine_with(&[(deadly, "a"), (deadly, "b"), (deadly, "c")]);
+    let first = fingerprint_of(&["body", "0"]);
     for i in 0..6_000_u64 {
-        let fingerprint = of(&["body", &i.to_string()]);
+        let fingerprint = fingerprint_of(&["body", &i.to_string()]);
         let at = 10 * SECOND + i;
-        known.record(ended(fingerprint, &format!("t{}", i / 64), at), at);
+        quarantine.record(ended(fingerprint, &format!("t{}", i / 64), at), at);
     }
-    let (mut told, mut serial) = (0, 0);
+    let (mut returned, mut serial) = (0, 0);
     loop {
-        let (some, last) = known.evidence_since(serial);
-        told += some.len();
+        let (some, last) = quarantine.evidence_since(serial);
+        returned += some.len();
         if some.is_empty() {
             break;
         }
         serial = last;
     }
-    assert!(told <= 4_096, "{told} findings are kept");
-    assert!(!known.is_suspect(&first));
-    assert!(is_held(&known, deadly));
+    assert!(returned <= 4_096, "{returned} observations are kept");
+    assert!(!quarantine.is_suspect(&first));
+    assert!(is_quarantined(&quarantine, deadly));
 }
--- a/crates/comfreyhall-quarantine/src/wire.rs
+++ b/crates/comfreyhall-quarantine/src/wire.rs
@@ -1,11 +1,11 @@
-//! Findings as messages between daemons.
+//! Evidence as messages between daemons.
 
 use comfreyhall_protocol as proto;
 
 use crate::{Evidence, Fingerprint, Observation};
 
 impl Evidence {
-    /// The message; what it says of time counts from `now`.
+    /// Converts it into a message; its age counts from `now`.
     pub fn to_wire(&self, now: u64) -> proto::Evidence {
         let (target, early) = match &self.observation {
             Observation::TargetEnded { target, early } => (target.to_string(), *early),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// What a message says; `None` if it names no request.
+    /// Reads a message; `None` if it has no valid fingerprint.
     pub fn from_wire(wire: &proto::Evidence, now: u64) -> Option<Self> {
         Some(Self {
             fingerprint: Fingerprint::from_bytes(&wire.fingerprint)?,
--- a/crates/comfreyhall-quarantine/tests/model.rs
+++ b/crates/comfreyhall-quarantine/tests/model.rs
@@ -1,11 +1,11 @@
-//! A fleet of daemons that tell each other what they find, searched for a
-//! sequence of partitions, restarts and lost news in which a deadly request
-//! goes on being sent.
+//! Model test of a fleet that exchanges evidence. Searches for a sequence of
+//! partitions, restarts and lost messages after which a deadly request is still
+//! sent.
 //!
-//! Time goes by in rounds. In each at most one copy of the deadly request
-//! comes, at some daemon, and ends a target if it is sent; ordinary requests
-//! lose a target beside it, come again, or run whole. Then daemons that are in
-//! touch swap what the other has not confirmed, unless that news is lost.
+//! Time passes in rounds. In each at most one copy of the deadly request
+//! arrives at some daemon, and ends a target if it is sent; ordinary requests
+//! lose a target beside it, are retried, or complete. Then connected daemons
+//! exchange what the other has not confirmed, unless that message is lost.
 
 use std::collections::BTreeSet;
 
@@ -16,15 +16,15 @@
 
 const DAEMONS: usize = 4;
 
-/// Length of a round, in ms: news goes round in it.
+/// Length of a round, in which a message reaches every daemon.
 const ROUND_MS: u64 = 300;
 
-/// A daemon that was cut off, or has started, for less than this does not count
-/// as in touch, in rounds; so long after the third end everybody must know.
-const WINDOW: u64 = 10;
+/// Rounds after a partition or a start before a daemon counts as connected, and
+/// after the third end before every daemon must know.
+const SYNC_ROUNDS: u64 = 10;
 
-/// Sends that the bound allows after that.
-const MORE: usize = 3;
+/// Sends allowed after that.
+const MAX_LATE_SENDS: usize = 3;
 
 /// Ordinary requests that may run beside the deadly one.
 const BYSTANDERS: u64 = 3;
@@ -32,19 +32,19 @@
 /// What happens in one round.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The deadly request comes to a daemon; these bystanders run beside it.
+    /// The deadly request arrives at a daemon; these bystanders run beside it.
     Deadly(usize, u8),
     /// A target ends with these bystanders, and without the deadly request.
     Crash(usize, u8),
-    /// A bystander runs whole.
-    Whole(usize, u8),
-    /// A daemon is cut off from the others, or is so no more.
-    Cut(usize),
+    /// A bystander completes.
+    Complete(usize, u8),
+    /// A daemon is partitioned from the others, or connected again.
+    Partition(usize),
     /// A daemon loses all that it knows.
     Restart(usize),
-    /// All news from one daemon to another is lost in this round.
+    /// All messages from one daemon to another are lost in this round.
     Lost(usize, usize),
-    /// Nothing for so many rounds.
+    /// Nothing for this many rounds.
     Wait(u64),
 }
 
@@ -53,8 +53,8 @@
     prop_oneof![
         6 => (daemon(), 0u8..8).prop_map(|(d, b)| Step::Deadly(d, b)),
         1 => (daemon(), 0u8..8).prop_map(|(d, b)| Step::Crash(d, b)),
-        1 => (daemon(), 0u8..8).prop_map(|(d, b)| Step::Whole(d, b)),
-        1 => daemon().prop_map(Step::Cut),
+        1 => (daemon(), 0u8..8).prop_map(|(d, b)| Step::Complete(d, b)),
+        1 => daemon().prop_map(Step::Partition),
         1 => daemon().prop_map(Step::Restart),
         2 => (daemon(), daemon()).prop_map(|(a, b)| Step::Lost(a, b)),
         1 => (1u64..200).prop_map(Step::Wait),
@@ -63,28 +63,28 @@
 
 /// One daemon.
 struct Daemon {
-    known: Quarantine,
-    /// Which process it is.
+    quarantine: Quarantine,
+    /// Identifies its process.
     boot: u64,
-    /// How far it has heard each other.
-    heard: [SyncPosition; DAEMONS],
-    cut: bool,
-    /// Whether it was cut off or started and has not yet heard of anybody who
-    /// was neither: nobody could tell it what the others know.
+    /// How much it has received from each other daemon.
+    received: [SyncPosition; DAEMONS],
+    partitioned: bool,
+    /// Whether it was partitioned or started and has not yet heard from any
+    /// daemon that was neither, so none could send it what the others know.
     behind: bool,
-    /// Since which round it is in touch.
-    since: u64,
+    /// Round since which it is connected.
+    connected_since: u64,
 }
 
 struct Fleet {
     daemons: Vec<Daemon>,
     round: u64,
     targets: u64,
-    /// When those in touch knew, together, of three targets that ended under
-    /// the deadly request.
-    known: Option<u64>,
-    /// Sends of it that count.
-    late: usize,
+    /// When the connected daemons knew, together, of three targets that ended
+    /// under the deadly request.
+    known_since: Option<u64>,
+    /// Sends of the deadly request that count against the bound.
+    late_sends: usize,
 }
 
 fn fingerprint_of(number: u64) -> Fingerprint {
@@ -94,19 +94,19 @@
 impl Fleet {
     fn new() -> Self {
         let daemon = |i| Daemon {
-            known: Quarantine::default(),
+            quarantine: Quarantine::default(),
             boot: 1 + i as u64,
-            heard: Default::default(),
-            cut: false,
+            received: Default::default(),
+            partitioned: false,
             behind: false,
-            since: 0,
+            connected_since: 0,
         };
         Self {
             daemons: (0..DAEMONS).map(daemon).collect(),
-            round: WINDOW,
+            round: SYNC_ROUNDS,
             targets: 0,
-            known: None,
-            late: 0,
+            known_since: None,
+            late_sends: 0,
         }
     }
 
@@ -114,148 +114,153 @@
         self.round * ROUND_MS
     }
 
-    fn in_touch(&self, daemon: usize) -> bool {
+    fn is_connected(&self, daemon: usize) -> bool {
         let d = &self.daemons[daemon];
-        !d.cut && !d.behind && self.round >= d.since + WINDOW
+        !d.partitioned && !d.behind && self.round >= d.connected_since + SYNC_ROUNDS
     }
 
-    fn learn(&mut self, daemon: usize, fingerprint: Fingerprint, finding: Observation) {
+    fn record(&mut self, daemon: usize, fingerprint: Fingerprint, observation: Observation) {
         let now = self.now();
         let evidence = Evidence {
             fingerprint,
-            observation: finding,
+            observation,
             at_ms: now,
             observer: format!("n{daemon}").as_str().into(),
         };
-        self.daemons[daemon].known.record(evidence, now);
+        self.daemons[daemon].quarantine.record(evidence, now);
     }
 
-    /// A target ends under these requests; each was sent by some daemon.
+    /// A target ends under these requests, each sent by a different daemon.
     fn end_target(&mut self, first: usize, fingerprints: &[Fingerprint]) {
         self.targets += 1;
         let target = format!("t{}", self.targets);
         for (i, fingerprint) in fingerprints.iter().enumerate() {
-            let finding = Observation::TargetEnded {
+            let observation = Observation::TargetEnded {
                 target: target.as_str().into(),
                 early: true,
             };
-            self.learn((first + i) % DAEMONS, *fingerprint, finding);
+            self.record((first + i) % DAEMONS, *fingerprint, observation);
         }
     }
 
-    fn free(&self, daemon: usize, fingerprint: Fingerprint) -> bool {
+    fn is_allowed(&self, daemon: usize, fingerprint: Fingerprint) -> bool {
         let status = self.daemons[daemon]
-            .known
+            .quarantine
             .status(&fingerprint, daemon, self.now());
         !matches!(status, Status::Quarantined { .. })
     }
 
-    /// Those of `chosen` that their daemon does not hold back.
-    fn beside(&self, daemon: usize, chosen: u8) -> Vec<Fingerprint> {
+    /// Those of `chosen` that their daemon does not quarantine.
+    fn allowed_bystanders(&self, daemon: usize, chosen: u8) -> Vec<Fingerprint> {
         let all = (1..=BYSTANDERS).filter(|b| chosen & (1 << (b - 1)) != 0);
-        let free = all.map(fingerprint_of).filter(|p| self.free(daemon, *p));
+        let free = all
+            .map(fingerprint_of)
+            .filter(|p| self.is_allowed(daemon, *p));
         free.collect()
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
-            Step::Deadly(daemon, beside) if self.free(daemon, fingerprint_of(0)) => {
-                let known = self.known.is_some_and(|r| self.round > r + WINDOW);
-                self.late += usize::from(known && self.in_touch(daemon));
+            Step::Deadly(daemon, bystanders) if self.is_allowed(daemon, fingerprint_of(0)) => {
+                let known = self
+                    .known_since
+                    .is_some_and(|r| self.round > r + SYNC_ROUNDS);
+                self.late_sends += usize::from(known && self.is_connected(daemon));
                 let mut fingerprints = vec![fingerprint_of(0)];
-                fingerprints.extend(self.beside(daemon, beside));
+                fingerprints.extend(self.allowed_bystanders(daemon, bystanders));
                 self.end_target(daemon, &fingerprints);
             }
             Step::Deadly(..) => {}
-            Step::Crash(daemon, beside) => {
-                let fingerprints = self.beside(daemon, beside);
+            Step::Crash(daemon, bystanders) => {
+                let fingerprints = self.allowed_bystanders(daemon, bystanders);
                 self.end_target(daemon, &fingerprints);
             }
-            Step::Whole(daemon, bystander) => {
+            Step::Complete(daemon, bystander) => {
                 let fingerprint = fingerprint_of(1 + u64::from(bystander) % BYSTANDERS);
-                if self.daemons[daemon].known.is_suspect(&fingerprint) {
-                    self.learn(daemon, fingerprint, Observation::Completed);
+                if self.daemons[daemon].quarantine.is_suspect(&fingerprint) {
+                    self.record(daemon, fingerprint, Observation::Completed);
                 }
             }
-            Step::Cut(daemon) => {
+            Step::Partition(daemon) => {
                 let d = &mut self.daemons[daemon];
-                d.cut = !d.cut;
+                d.partitioned = !d.partitioned;
                 d.behind = true;
-                d.since = self.round;
+                d.connected_since = self.round;
             }
-            // What nobody in touch knows any more is forgotten.
-            Step::Restart(daemon) if self.others_in_touch(daemon) => {
+            // Evidence that no connected daemon has is lost.
+            Step::Restart(daemon) if self.others_connected(daemon) => {
                 let d = &mut self.daemons[daemon];
-                d.known = Quarantine::default();
-                d.heard = Default::default();
+                d.quarantine = Quarantine::default();
+                d.received = Default::default();
                 d.boot += DAEMONS as u64;
                 d.behind = true;
-                d.since = self.round;
+                d.connected_since = self.round;
             }
             Step::Restart(_) | Step::Lost(..) | Step::Wait(_) => {}
         }
     }
 
-    fn others_in_touch(&self, daemon: usize) -> bool {
-        (0..DAEMONS).any(|o| o != daemon && self.in_touch(o))
+    fn others_connected(&self, daemon: usize) -> bool {
+        (0..DAEMONS).any(|o| o != daemon && self.is_connected(o))
     }
 
-    /// All who are in touch swap news; what goes from `lost.0` to `lost.1` is
-    /// lost.
-    fn swap(&mut self, lost: Option<(usize, usize)>) {
+    /// All connected daemons exchange evidence; what goes from `lost.0` to
+    /// `lost.1` is lost.
+    fn exchange(&mut self, lost: Option<(usize, usize)>) {
         for from in 0..DAEMONS {
             for to in 0..DAEMONS {
-                let cut = self.daemons[from].cut || self.daemons[to].cut;
-                if from == to || cut || lost == Some((from, to)) {
+                let partitioned = self.daemons[from].partitioned || self.daemons[to].partitioned;
+                if from == to || partitioned || lost == Some((from, to)) {
                     continue;
                 }
-                self.tell(from, to);
+                self.send_evidence(from, to);
             }
         }
-        self.note_known();
+        self.update_known();
         self.round += 1;
     }
 
-    /// What a daemon knows that is cut off, or was lost with it, nobody can act
-    /// on.
-    fn note_known(&mut self) {
-        let in_touch = (0..DAEMONS).filter(|d| self.in_touch(*d));
-        let ends = in_touch.flat_map(|d| self.daemons[d].known.target_ends(&fingerprint_of(0)));
+    /// Evidence that only a partitioned daemon has, or that was lost with one,
+    /// cannot be acted on.
+    fn update_known(&mut self) {
+        let is_connected = (0..DAEMONS).filter(|d| self.is_connected(*d));
+        let ends =
+            is_connected.flat_map(|d| self.daemons[d].quarantine.target_ends(&fingerprint_of(0)));
         let ends: BTreeSet<&str> = ends.map(|e| &*e.target).collect();
         if ends.len() >= 3 {
-            self.known.get_or_insert(self.round);
+            self.known_since.get_or_insert(self.round);
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send_evidence(&mut self, from: usize, to: usize) {
         let now = self.now();
-        let heard = self.daemons[to].heard[from];
+        let received = self.daemons[to].received[from];
         let boot = self.daemons[from].boot;
-        let after = match heard.boot == boot {
-            true => heard.serial,
+        let after = match received.boot == boot {
+            true => received.serial,
             false => 0,
         };
-        let (told, serial) = self.daemons[from].known.evidence_since(after);
-        for evidence in told {
-            self.daemons[to].known.record(evidence, now);
+        let (evidence_list, serial) = self.daemons[from].quarantine.evidence_since(after);
+        for evidence in evidence_list {
+            self.daemons[to].quarantine.record(evidence, now);
         }
-        self.daemons[to].heard[from] = SyncPosition { boot, serial };
+        self.daemons[to].received[from] = SyncPosition { boot, serial };
         if self.daemons[to].behind && !self.daemons[from].behind {
             self.daemons[to].behind = false;
-            self.daemons[to].since = self.round;
+            self.daemons[to].connected_since = self.round;
         }
     }
 
     fn run(&mut self, steps: &[Step]) {
         for step in steps {
-            self.take(*step);
+            self.apply(*step);
             let lost = match step {
                 Step::Lost(from, to) => Some((*from, *to)),
                 _ => None,
             };
-            self.swap(lost);
+            self.exchange(lost);
             if let Step::Wait(rounds) = step {
-                (0..*rounds).for_each(|_| self.swap(None));
+                (0..*rounds).for_each(|_| self.exchange(None));
             }
         }
     }
@@ -269,30 +274,30 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: a request that has ended three targets goes on being sent.
-    /// Events: daemons are cut off, start again, and news is lost. Cause: what
-    /// one of them learned does not reach the others, or not again.
+    /// Guards against a deadly request that is still sent after it has ended
+    /// three targets, because after partitions, restarts and lost messages
+    /// evidence does not reach the other daemons, or not again.
     #[test]
     fn status_deadly_request_is_bounded(steps in proptest::collection::vec(step(), 1..120)) {
         let mut fleet = Fleet::new();
         fleet.run(&steps);
-        prop_assert!(fleet.late <= MORE, "sent {} times more", fleet.late);
+        prop_assert!(fleet.late_sends <= MAX_LATE_SENDS, "sent {} times more", fleet.late_sends);
     }
 
-    /// The bystanders are free again in the end, once they run whole.
+    /// The bystanders are allowed again in the end, once they complete.
     #[test]
-    fn status_bystander_ran_whole_is_free(steps in proptest::collection::vec(step(), 1..60)) {
+    fn status_completed_bystander_is_allowed(steps in proptest::collection::vec(step(), 1..60)) {
         let mut fleet = Fleet::new();
         fleet.run(&steps);
-        let cut: Vec<usize> = (0..DAEMONS).filter(|d| fleet.daemons[*d].cut).collect();
-        cut.into_iter().for_each(|d| fleet.take(Step::Cut(d)));
-        fleet.swap(None);
+        let partitioned: Vec<usize> = (0..DAEMONS).filter(|d| fleet.daemons[*d].partitioned).collect();
+        partitioned.into_iter().for_each(|d| fleet.apply(Step::Partition(d)));
+        fleet.exchange(None);
         for bystander in 0..BYSTANDERS {
-            (0..DAEMONS).for_each(|d| fleet.take(Step::Whole(d, bystander as u8)));
+            (0..DAEMONS).for_each(|d| fleet.apply(Step::Complete(d, bystander as u8)));
         }
-        fleet.swap(None);
+        fleet.exchange(None);
         for bystander in 1..=BYSTANDERS {
-            prop_assert!((0..DAEMONS).all(|d| fleet.free(d, fingerprint_of(bystander))));
+            prop_assert!((0..DAEMONS).all(|d| fleet.is_allowed(d, fingerprint_of(bystander))));
         }
     }
 }
--- a/crates/comfreyhall-quarantine/tests/series.rs
+++ b/crates/comfreyhall-quarantine/tests/series.rs
@@ -1,4 +1,5 @@
-//! How often ordinary requests are held back while engines crash in a row.
+//! Measures how often ordinary requests are quarantined while engines crash in
+//! a row.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,48 +8,49 @@
 
 const ENGINES: usize = 9;
 
-/// Pause between two ordinary requests, and how long one runs, in ms.
-const ARRIVAL_MS: u64 = 16;
+/// Interval between two ordinary requests, and mean duration of one.
+const ARRIVAL_INTERVAL_MS: u64 = 16;
 const RUN_MS: u64 = 1_500;
 
-/// When its first event comes, and how long after that it counts as having just
-/// begun, in ms.
-const FIRST_MS: u64 = 400;
+/// Time to a request's first event, and for how long after that an end still
+/// counts as early.
+const FIRST_EVENT_MS: u64 = 400;
 const EARLY_MS: u64 = 300;
 
-/// Crashes in one series, and the pause between two, in ms; an engine is away
-/// for so long.
+/// Crashes in one series, the pause between two, and how long an engine is
+/// down.
 const CRASHES: u64 = 12;
-const PAUSE_MS: u64 = 700;
-const AWAY_MS: u64 = 3_000;
+const CRASH_INTERVAL_MS: u64 = 700;
+const RESTART_MS: u64 = 3_000;
 
-/// How often an ordinary request is sent in good faith: within its attempts,
-/// by its caller, and by a caller that comes again.
-const SENDS: u32 = 6;
+/// How often an ordinary request is sent: within its attempts, by its caller,
+/// and by a caller that comes back.
+const MAX_SENDS: u32 = 6;
 
-/// Pause before it is sent again, in ms, and when its caller is held back.
-const AGAIN_MS: u64 = 200;
-const HELD_AGAIN_MS: u64 = 1_000;
+/// Delay before a request is sent again, and before the caller of a quarantined
+/// one retries.
+const RETRY_MS: u64 = 200;
+const QUARANTINED_RETRY_MS: u64 = 1_000;
 
-/// How long the deadly request runs before its engine ends, in ms.
+/// How long the deadly request runs before its engine ends.
 const DEADLY_MS: u64 = 50;
 
-/// How long a series is played, and for how long requests arrive, in ms.
-const PLAYED_MS: u64 = 60_000;
-const ARRIVE_MS: u64 = 20_000;
+/// Duration of a simulation, and for how long requests arrive.
+const DURATION_MS: u64 = 60_000;
+const ARRIVALS_END_MS: u64 = 20_000;
 
-/// When the first engine ends, in ms.
-const BEGIN_MS: u64 = 5_000;
+/// When the first engine ends.
+const FIRST_CRASH_MS: u64 = 5_000;
 
-/// One request on its way.
+/// A request in progress.
 #[derive(Clone, Copy)]
 struct Run {
     fingerprint: Fingerprint,
     deadly: bool,
     engine: usize,
     /// When its first event comes, and when it ends.
-    answers: u64,
-    ends: u64,
+    answers_ms: u64,
+    ends_ms: u64,
     sends: u32,
 }
 
@@ -58,208 +60,209 @@
             fingerprint: Fingerprint::of([&number.to_le_bytes()[..]]),
             deadly,
             engine: 0,
-            answers: 0,
-            ends: 0,
+            answers_ms: 0,
+            ends_ms: 0,
             sends: 0,
         }
     }
 }
 
-/// What series came to.
+/// Results summed over simulations.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tally {
     ordinary: u64,
     /// Ordinary requests that lost an engine.
-    hit: u64,
-    /// Ordinary requests that were held back at some time.
-    held: u64,
-    /// Longest that one was, in ms.
-    longest: u64,
-    /// Engines that ended under the deadly request, at most.
-    deadly: u64,
+    lost_engine: u64,
+    /// Ordinary requests that were ever quarantined.
+    quarantined: u64,
+    /// Longest quarantine of one.
+    longest_ms: u64,
+    /// Most engines that ended under the deadly request.
+    deadly_ends: u64,
 }
 
-struct Series {
+struct Simulation {
     rng: SmallRng,
-    known: Quarantine,
-    /// Which boot of each engine is there, and when it is back.
+    quarantine: Quarantine,
+    /// Number of starts of each engine, and when it is up again.
     boots: [u64; ENGINES],
-    back: [u64; ENGINES],
+    up_at_ms: [u64; ENGINES],
     runs: Vec<Run>,
-    /// Requests that come again, by when.
-    again: BTreeMap<u64, Vec<Run>>,
-    hit: BTreeSet<Fingerprint>,
-    /// Since when ordinary requests were held back.
-    held: BTreeMap<Fingerprint, u64>,
+    /// Requests to be sent again, by time.
+    retries: BTreeMap<u64, Vec<Run>>,
+    hit_requests: BTreeSet<Fingerprint>,
+    /// When ordinary requests were first quarantined.
+    quarantined_at: BTreeMap<Fingerprint, u64>,
     now: u64,
     tally: Tally,
 }
 
-impl Series {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
-            known: Quarantine::default(),
+            quarantine: Quarantine::default(),
             boots: [0; ENGINES],
-            back: [0; ENGINES],
+            up_at_ms: [0; ENGINES],
             runs: Vec::new(),
-            again: BTreeMap::new(),
-            hit: BTreeSet::new(),
-            held: BTreeMap::new(),
+            retries: BTreeMap::new(),
+            hit_requests: BTreeSet::new(),
+            quarantined_at: BTreeMap::new(),
             now: 1,
             tally: Tally::default(),
         }
     }
 
-    fn up(&mut self) -> Option<usize> {
-        let up = (0..ENGINES).filter(|e| self.back[*e] <= self.now);
+    fn available_engine(&mut self) -> Option<usize> {
+        let up = (0..ENGINES).filter(|e| self.up_at_ms[*e] <= self.now);
         up.choose(&mut self.rng)
     }
 
-    fn later(&mut self, run: Run, pause: u64) {
-        self.again.entry(self.now + pause).or_default().push(run);
+    fn retry_later(&mut self, run: Run, pause: u64) {
+        self.retries.entry(self.now + pause).or_default().push(run);
     }
 
-    /// Sends a request to an engine that is there, unless it is held back.
+    /// Sends a request to an engine that is up, unless it is quarantined.
     fn send(&mut self, mut run: Run) {
-        let status = self.known.status(&run.fingerprint, 0, self.now);
+        let status = self.quarantine.status(&run.fingerprint, 0, self.now);
         if matches!(status, Status::Quarantined { .. }) {
             if !run.deadly {
-                self.held.entry(run.fingerprint).or_insert(self.now);
-                self.later(run, HELD_AGAIN_MS);
+                self.quarantined_at
+                    .entry(run.fingerprint)
+                    .or_insert(self.now);
+                self.retry_later(run, QUARANTINED_RETRY_MS);
             }
             return;
         }
-        if let Some(since) = self.held.get(&run.fingerprint) {
-            self.tally.longest = self.tally.longest.max(self.now - since);
+        if let Some(since) = self.quarantined_at.get(&run.fingerprint) {
+            self.tally.longest_ms = self.tally.longest_ms.max(self.now - since);
         }
-        let Some(engine) = self.up() else {
-            return self.later(run, AGAIN_MS);
+        let Some(engine) = self.available_engine() else {
+            return self.retry_later(run, RETRY_MS);
         };
-        let takes = match run.deadly {
+        let duration_ms = match run.deadly {
             true => DEADLY_MS,
             false => self.rng.random_range(RUN_MS / 2..RUN_MS * 3 / 2),
         };
         run.engine = engine;
         run.sends += 1;
-        run.answers = self.now + FIRST_MS;
-        run.ends = self.now + takes;
+        run.answers_ms = self.now + FIRST_EVENT_MS;
+        run.ends_ms = self.now + duration_ms;
         self.runs.push(run);
     }
 
-    /// An engine ends, with all that runs there.
+    /// Ends an engine, with all that runs there.
     fn crash(&mut self, engine: usize) {
         let boot = format!("e{engine}-{}", self.boots[engine]);
         self.boots[engine] += 1;
-        self.back[engine] = self.now + AWAY_MS;
+        self.up_at_ms[engine] = self.now + RESTART_MS;
         let runs = std::mem::take(&mut self.runs);
         let (lost, left) = runs.into_iter().partition(|r| r.engine == engine);
         self.runs = left;
         let lost: Vec<Run> = lost;
         for run in lost {
-            let early = self.now < run.answers + EARLY_MS;
+            let early = self.now < run.answers_ms + EARLY_MS;
             let target = boot.as_str().into();
-            self.learn(run.fingerprint, Observation::TargetEnded { target, early });
+            self.record(run.fingerprint, Observation::TargetEnded { target, early });
             if !run.deadly {
-                self.hit.insert(run.fingerprint);
+                self.hit_requests.insert(run.fingerprint);
             }
-            if run.deadly || run.sends < SENDS {
-                self.later(run, AGAIN_MS);
+            if run.deadly || run.sends < MAX_SENDS {
+                self.retry_later(run, RETRY_MS);
             }
         }
     }
 
-    fn learn(&mut self, fingerprint: Fingerprint, finding: Observation) {
+    fn record(&mut self, fingerprint: Fingerprint, observation: Observation) {
         let evidence = Evidence {
             fingerprint,
-            observation: finding,
+            observation,
             at_ms: self.now,
             observer: "n".into(),
         };
-        self.known.record(evidence, self.now);
+        self.quarantine.record(evidence, self.now);
     }
 
     /// Ends the runs whose time has come.
     fn end_runs(&mut self) {
-        while let Some(at) = self.runs.iter().position(|r| r.ends <= self.now) {
+        while let Some(at) = self.runs.iter().position(|r| r.ends_ms <= self.now) {
             let run = self.runs[at];
             if run.deadly {
-                self.tally.deadly += 1;
+                self.tally.deadly_ends += 1;
                 self.crash(run.engine);
                 continue;
             }
             self.runs.swap_remove(at);
-            if self.known.is_suspect(&run.fingerprint) {
-                self.learn(run.fingerprint, Observation::Completed);
+            if self.quarantine.is_suspect(&run.fingerprint) {
+                self.record(run.fingerprint, Observation::Completed);
             }
         }
     }
 
-    /// Plays a series of crashes, by chance or by a deadly request.
-    fn play(mut self, deadly: bool) -> Tally {
-        while self.now < PLAYED_MS {
+    /// Simulates a series of crashes, random or caused by a deadly request.
+    fn run(mut self, deadly: bool) -> Tally {
+        while self.now < DURATION_MS {
             self.end_runs();
-            for run in self.again.remove(&self.now).unwrap_or_default() {
+            for run in self.retries.remove(&self.now).unwrap_or_default() {
                 self.send(run);
             }
-            if self.now < ARRIVE_MS && self.now.is_multiple_of(ARRIVAL_MS) {
+            if self.now < ARRIVALS_END_MS && self.now.is_multiple_of(ARRIVAL_INTERVAL_MS) {
                 self.tally.ordinary += 1;
                 self.send(Run::new(self.tally.ordinary, false));
             }
-            let turn = self.now.wrapping_sub(BEGIN_MS);
-            let due = turn < CRASHES * PAUSE_MS && turn.is_multiple_of(PAUSE_MS);
+            let turn = self.now.wrapping_sub(FIRST_CRASH_MS);
+            let due = turn < CRASHES * CRASH_INTERVAL_MS && turn.is_multiple_of(CRASH_INTERVAL_MS);
             if due
                 && !deadly
-                && let Some(engine) = self.up()
+                && let Some(engine) = self.available_engine()
             {
                 self.crash(engine);
             }
-            // Two copies of the deadly request are on their way at once.
-            if deadly && (turn == 0 || turn == PAUSE_MS) {
+            // Two copies of the deadly request are in progress at once.
+            if deadly && (turn == 0 || turn == CRASH_INTERVAL_MS) {
                 self.send(Run::new(0, true));
             }
             self.now += 1;
         }
-        self.tally.hit = self.hit.len() as u64;
-        self.tally.held = self.held.len() as u64;
+        self.tally.lost_engine = self.hit_requests.len() as u64;
+        self.tally.quarantined = self.quarantined_at.len() as u64;
         self.tally
     }
 }
 
-fn play_all(deadly: bool) -> Tally {
+fn run_all(deadly: bool) -> Tally {
     let mut sum = Tally::default();
     for seed in 0..50 {
-        let tally = Series::new(seed).play(deadly);
+        let tally = Simulation::new(seed).run(deadly);
         sum.ordinary += tally.ordinary;
-        sum.hit += tally.hit;
-        sum.held += tally.held;
-        sum.longest = sum.longest.max(tally.longest);
-        sum.deadly = sum.deadly.max(tally.deadly);
+        sum.lost_engine += tally.lost_engine;
+        sum.quarantined += tally.quarantined;
+        sum.longest_ms = sum.longest_ms.max(tally.longest_ms);
+        sum.deadly_ends = sum.deadly_ends.max(tally.deadly_ends);
     }
     println!("deadly {deadly}, 50 series: {sum:?}");
     sum
 }
 
-/// Symptom: ordinary requests are held back though they harm nobody. Events:
-/// engines are killed in a row; requests are sent on from one that ends to the
-/// next one that does, and their callers send them again. Cause: that a target
-/// ended under a request proves little. Aim: of the requests that lost an engine
-/// fewer than one in a hundred is held back, for no longer than the first trial
-/// takes to let it go.
+/// Guards against quarantining ordinary requests while engines are killed in a
+/// row: requests are retried from one engine that ends to the next, and their
+/// callers send them again, so a single end is weak evidence. Of the requests
+/// that lost an engine fewer than one in a hundred may be quarantined, for no
+/// longer than the first trial takes to release it.
 #[test]
-fn status_crash_series_holds_few() {
-    let sum = play_all(false);
-    assert!(sum.hit > 1_000, "{sum:?}");
-    assert!(sum.held * 100 < sum.hit, "{sum:?}");
-    assert!(sum.longest <= 35_000, "{sum:?}");
+fn status_crash_series_quarantines_few() {
+    let sum = run_all(false);
+    assert!(sum.lost_engine > 1_000, "{sum:?}");
+    assert!(sum.quarantined * 100 < sum.lost_engine, "{sum:?}");
+    assert!(sum.longest_ms <= 35_000, "{sum:?}");
 }
 
 /// The same while one request ends engine after engine, until it is stopped.
 #[test]
-fn status_beside_deadly_request_holds_few() {
-    let sum = play_all(true);
-    assert!(sum.hit > 1_000, "{sum:?}");
-    assert!(sum.held * 100 < sum.hit, "{sum:?}");
-    assert!(sum.longest <= 35_000, "{sum:?}");
-    assert!(sum.deadly <= 7, "{sum:?}");
+fn status_deadly_request_quarantines_few_others() {
+    let sum = run_all(true);
+    assert!(sum.lost_engine > 1_000, "{sum:?}");
+    assert!(sum.quarantined * 100 < sum.lost_engine, "{sum:?}");
+    assert!(sum.longest_ms <= 35_000, "{sum:?}");
+    assert!(sum.deadly_ends <= 7, "{sum:?}");
 }
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -26,7 +26,10 @@
 }
 
 /// Hash of each prefix of `parts`, with the tokens of its last part.
-fn prefix_hashes(adapter: &AdapterRef, parts: &[PromptSegment]) -> impl Iterator<Item = (u64, u32)> {
+fn prefix_hashes(
+    adapter: &AdapterRef,
+    parts: &[PromptSegment],
+) -> impl Iterator<Item = (u64, u32)> {
     let mut hash = FxHasher::default();
     adapter.hash(&mut hash);
     parts.iter().map(move |p| {
