--- a/crates/comfreyhall-backpressure/src/lib.rs
+++ b/crates/comfreyhall-backpressure/src/lib.rs
@@ -10,15 +10,15 @@
 //! another boot at the same address has none. Everything here takes the time as
 //! an argument, in ms of a monotonic clock, and does no I/O.
 
-mod gate;
 mod notice;
-mod part;
-mod read;
+mod parse;
+mod shares;
+mod signals;
 
-pub use gate::{Change, LimitReport, TargetSignals};
 pub use notice::{Anomaly, Notice, Rate};
-pub use part::LimitShares;
-pub use read::{parse_cooldown, parse_draining, parse_limit};
+pub use parse::{parse_cooldown, parse_draining, parse_limit};
+pub use shares::LimitShares;
+pub use signals::{Change, LimitReport, TargetSignals};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-placement/src/lib.rs
+++ b/crates/comfreyhall-placement/src/lib.rs
@@ -14,28 +14,28 @@
 //! victim; the engine rejects such an eviction anyway, so a stale view cannot
 //! evict an adapter in use.
 
-mod ceiling;
 mod copies;
 mod demand;
+mod eviction;
 mod frequency;
+mod load_rate;
+mod load_window;
 mod lru;
-mod place_time;
 mod queue;
-mod victim;
+mod slot_time;
 mod view;
-mod window;
 
-pub use ceiling::LoadRateLimit;
 pub use copies::engines_needed;
 pub use demand::Demand;
+pub use eviction::{EvictionCandidate, select_victim};
 pub use frequency::FrequencyPolicy;
+pub use load_rate::LoadRateLimit;
 pub use lru::LruPolicy;
-pub use place_time::{HoldTime, SlotTimePrice};
 pub use queue::QueuedRequest;
-pub use victim::{EvictionCandidate, select_victim};
+pub use slot_time::{HoldTime, SlotTimePrice};
 pub use view::{Decision, EngineView, SlotView};
 
-pub use window::LoadWindow;
+pub use load_window::LoadWindow;
 
 use comfreyhall_settings::PolicyKind;
 
--- a/crates/comfreyhall-quarantine/src/case.rs
+++ b/crates/comfreyhall-quarantine/src/case.rs
@@ -112,11 +112,11 @@
 
     /// Adds a target that ended under it; returns whether that is new.
     pub(crate) fn add_end(&mut self, end: TargetEnd) -> bool {
-        let completion = self
+        let completed_since = self
             .completion
             .as_ref()
             .is_some_and(|c| c.at_ms >= end.at_ms);
-        if completion || self.ended_target(&end.target) || self.ends.len() >= MAX_CASE_ENDS {
+        if completed_since || self.ended_target(&end.target) || self.ends.len() >= MAX_CASE_ENDS {
             return false;
         }
         self.ends.push(end);
--- a/crates/comfreyhall-quarantine/tests/model.rs
+++ b/crates/comfreyhall-quarantine/tests/model.rs
@@ -223,9 +223,9 @@
     /// Evidence that only a partitioned daemon has, or that was lost with one,
     /// cannot be acted on.
     fn update_known(&mut self) {
-        let is_connected = (0..DAEMONS).filter(|d| self.is_connected(*d));
+        let connected = (0..DAEMONS).filter(|d| self.is_connected(*d));
         let ends =
-            is_connected.flat_map(|d| self.daemons[d].quarantine.target_ends(&fingerprint_of(0)));
+            connected.flat_map(|d| self.daemons[d].quarantine.target_ends(&fingerprint_of(0)));
         let ends: BTreeSet<&str> = ends.map(|e| &*e.target).collect();
         if ends.len() >= 3 {
             self.known_since.get_or_insert(self.round);
--- a/crates/comfreyhall-routing/src/lib.rs
+++ b/crates/comfreyhall-routing/src/lib.rs
@@ -9,20 +9,20 @@
 //! caller should retry.
 
 pub mod admission;
-mod board;
 mod budget;
 mod health;
+mod latency;
 mod prefix;
 mod residency;
 pub mod selection;
-mod speed;
+mod target_stats;
 
-pub use board::{TargetStats, Work};
 pub use budget::RetryBudget;
 pub use health::Health;
+pub use latency::{LatencyModel, SpeedFactor};
 pub use prefix::PrefixIndex;
 pub use residency::{Presence, Residency};
-pub use speed::{LatencyModel, SpeedFactor};
+pub use target_stats::{TargetStats, Work};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-routing/src/board.rs
+++ b/crates/comfreyhall-routing/src/target_stats.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     health::Health,
-    speed::{LatencyModel, SpeedFactor},
+    latency::{LatencyModel, SpeedFactor},
 };
 
 /// Weight of one sample in the moving average of a plain request's duration.
