--- a/crates/comfreyhall-quarantine/src/attribution.rs
+++ b/crates/comfreyhall-quarantine/src/attribution.rs
@@ -1,8 +1,8 @@
 //! Attributes the ends of targets to requests.
 //!
 //! A target that ends takes down everything that runs there, so each end is
-//! evidence against all requests that were there. Three rules tell the cause
-//! from the others:
+//! evidence against all requests that were there. Three rules distinguish
+//! the cause from the others:
 //!
 //! - The cause ends its targets as it starts to run: a request that had been
 //!   answered for a while is less suspect.
--- a/crates/comfreyhall-quarantine/src/case.rs
+++ b/crates/comfreyhall-quarantine/src/case.rs
@@ -10,7 +10,7 @@
 const MAX_CASE_ENDS: usize = 16;
 
 /// How much the times at which two daemons place the same observation may
-/// differ: each counts back from when it was told.
+/// differ: messages carry its age, and each daemon counts back from the receipt.
 ///
 /// Without this tolerance a daemon takes its own observation, sent back to it,
 /// for a newer one, and two daemons send each other the same one for ever.
--- a/crates/comfreyhall-routing/src/selection.rs
+++ b/crates/comfreyhall-routing/src/selection.rs
@@ -141,11 +141,11 @@
 /// which takes 160 ms of an engine's time for 6,300 tokens.
 pub fn prefix_engine<'a>(
     adapter: &str,
-    parts: &[PromptSegment],
+    segments: &[PromptSegment],
     holders: impl Iterator<Item = &'a Name>,
 ) -> Option<&'a Name> {
-    // The last part is unique to the request.
-    let (_, shared) = parts.split_last()?;
+    // The last segment is unique to the request.
+    let (_, shared) = segments.split_last()?;
     let last_shared = shared.last()?;
     let key = format!("{adapter}#{:x}", last_shared.id);
     holders.min_by_key(|t| rendezvous_rank(&key, t))
--- a/crates/comfreyhall-routing/src/tests.rs
+++ b/crates/comfreyhall-routing/src/tests.rs
@@ -67,7 +67,7 @@
 #[test]
 fn prefix_engine_each_prompt_processed_once() {
     let holders = [name("e1"), name("e2")];
-    let parts = |i: u64| [i % 34, 1_000 + i].map(|id| PromptSegment { id, tokens: 6_300 });
+    let segments = |i: u64| [i % 34, 1_000 + i].map(|id| PromptSegment { id, tokens: 6_300 });
     let reads = |to: &dyn Fn(u64) -> Name| {
         let read: std::collections::HashSet<(u64, Name)> =
             (0..600).map(|i| (i % 34, to(i))).collect();
@@ -75,15 +75,15 @@
     };
     let alternating = reads(&|i| holders[(i / 34 % 2) as usize].clone());
     let agreed = reads(&|i| {
-        let reader = selection::prefix_engine("m/a1", &parts(i), holders.iter());
+        let reader = selection::prefix_engine("m/a1", &segments(i), holders.iter());
         reader.unwrap().clone()
     });
     assert_eq!((alternating, agreed), (68, 34));
     // Both engines take part.
-    let first = |i| selection::prefix_engine("m/a1", &parts(i), holders.iter());
+    let first = |i| selection::prefix_engine("m/a1", &segments(i), holders.iter());
     assert!((0..34).any(|i| first(i) != first(0)));
     assert_eq!(
-        selection::prefix_engine("m/a1", &parts(0)[..1], holders.iter()),
+        selection::prefix_engine("m/a1", &segments(0)[..1], holders.iter()),
         None
     );
 }
@@ -273,12 +273,12 @@
 #[test]
 fn cached_tokens_counts_unbroken_chain() {
     let mut p = PrefixIndex::default();
-    let part = |id, tokens| PromptSegment { id, tokens };
+    let segment = |id, tokens| PromptSegment { id, tokens };
     let t = name("t");
-    p.record(&adapter(), &[part(1, 300), part(2, 200)], &t, 0);
-    let same = [part(1, 300), part(2, 200), part(9, 50)];
+    p.record(&adapter(), &[segment(1, 300), segment(2, 200)], &t, 0);
+    let same = [segment(1, 300), segment(2, 200), segment(9, 50)];
     assert_eq!(p.cached_tokens(&adapter(), &same, &t), 500);
-    let other = [part(3, 300), part(2, 200)];
+    let other = [segment(3, 300), segment(2, 200)];
     assert_eq!(p.cached_tokens(&adapter(), &other, &t), 0);
     assert_eq!(p.cached_tokens(&adapter(), &same, &name("u")), 0);
 }
