--- a/crates/comfreyhall-backpressure/tests/model.rs
+++ b/crates/comfreyhall-backpressure/tests/model.rs
@@ -59,7 +59,7 @@
     frozen_until: u64,
     /// End of the longest cooldown that it has read.
     cooldown_end_ms: u64,
-    told_draining: bool,
+    knows_draining: bool,
 }
 
 #[derive(Default)]
@@ -92,7 +92,7 @@
             if let Some(ms) = answer.notice.cooldown_ms {
                 daemon.cooldown_end_ms = daemon.cooldown_end_ms.max(now + ms);
             }
-            daemon.told_draining |= answer.notice.draining;
+            daemon.knows_draining |= answer.notice.draining;
             false
         });
     }
@@ -110,7 +110,7 @@
             return Ok(());
         }
         prop_assert!(now >= daemon.cooldown_end_ms, "sent within a cooldown");
-        prop_assert!(!daemon.told_draining, "sent to a draining target");
+        prop_assert!(!daemon.knows_draining, "sent to a draining target");
         let notice = Notice {
             limit: self.limit,
             cooldown_ms: self.cooldown_ms.take(),
@@ -182,7 +182,7 @@
         }
         simulation.now += 1;
         simulation.read();
-        for daemon in simulation.daemons.iter().filter(|d| !d.told_draining) {
+        for daemon in simulation.daemons.iter().filter(|d| !d.knows_draining) {
             prop_assert_eq!(daemon.signals.limit("t", simulation.now), limit);
         }
     }
--- a/crates/comfreyhall-routing/src/prefix.rs
+++ b/crates/comfreyhall-routing/src/prefix.rs
@@ -1,8 +1,8 @@
 //! Index of the prompt prefixes that each target has cached.
 //!
 //! A target keeps the prompt segments that it has processed, for the same model
-//! and adapter, as long as all segments before them are kept, and need not process
-//! them again. The index is derived from what this daemon sent there, which
+//! and adapter, as long as all segments before them are kept, and need not
+//! process them again. The index is derived from what this daemon sent there, which
 //! costs no call. It is wrong only when the target has dropped a segment, which
 //! makes one estimate too low by that segment.
 
