--- a/crates/comfreyhall-domain/src/ask.rs
+++ b/crates/comfreyhall-domain/src/ask.rs
@@ -1,4 +1,4 @@
-//! The facts of one request that decisions need.
+//! The parts of a client's request that decisions need.
 
 use bytes::Bytes;
 use comfreyhall_workspace::PresentedKey;
@@ -6,65 +6,67 @@
 
 use crate::Name;
 
-/// A model, and the adapter of it that is asked for.
+/// A base model and, optionally, one of its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AdapterRef {
     /// The base model.
     pub model: Name,
-    /// The adapter; `None` for the base model itself.
+    /// The adapter; `None` requests the base model itself.
     pub adapter: Option<Name>,
 }
 
-/// Size of a generation.
+/// Token counts of a generation request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Prompt tokens.
+    /// Tokens in the prompt.
     pub prompt: u32,
-    /// Most output tokens.
+    /// Maximum number of tokens to generate.
     pub max_output: u32,
 }
 
-/// A part of a prompt that other requests may share.
+/// A segment of a prompt that other requests may share, so that engines can
+/// cache it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Its id.
+    /// Identifies the segment across requests.
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What is forwarded as it came. Decisions never look inside.
+/// The HTTP request to forward unchanged. Decisions never inspect it.
 #[derive(Debug, Clone)]
 pub struct ForwardedRequest {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Request path with the query string.
     pub path: Name,
-    /// End-to-end headers.
+    /// End-to-end headers; hop-by-hop headers are already removed.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// One request of a caller.
+/// One request from a client.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
-    /// The caller's id of this attempt.
+    /// The client's id of this attempt.
     pub id: Name,
-    /// Key that the caller sent; what is forwarded does not bear it.
+    /// API key sent by the client; it is not forwarded.
     pub key: Option<PresentedKey>,
-    /// Host it was sent to.
+    /// Host that the request is addressed to.
     pub host: Name,
-    /// How long the caller waits, in ms, counted from its arrival.
+    /// How long the client still waits, in ms, counted from the request's
+    /// arrival.
     pub remaining_ms: Option<u64>,
-    /// Model and adapter, for engines.
+    /// Requested model and adapter; only for engines.
     pub adapter: Option<AdapterRef>,
-    /// Size of the generation, for engines.
+    /// Token counts; only for engines.
     pub tokens: Option<TokenCounts>,
-    /// Parts of the prompt in order, for engines.
+    /// Segments of the prompt, in order; only for engines.
     pub prompt_segments: Vec<PromptSegment>,
-    /// The last event the caller has, if it resumes a stream.
+    /// Id of the last event that the client received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// What is forwarded.
+    /// The request to forward.
     pub forwarded: ForwardedRequest,
 }
--- a/crates/comfreyhall-domain/src/config.rs
+++ b/crates/comfreyhall-domain/src/config.rs
@@ -1,4 +1,4 @@
-//! Routes, services and limits as the operator configured them.
+//! Routes, services and limits, as configured by the operator.
 
 use std::sync::Arc;
 
@@ -7,55 +7,56 @@
 
 use crate::Name;
 
-/// What repeating a request may do.
+/// Whether a route's requests may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Idempotent: may run more than once.
+    /// Idempotent: may be executed more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Must be executed at most once.
     NonIdempotent,
-    /// Answers with events; idempotent only where it can be resumed.
+    /// Responds with an event stream; idempotent only if the stream can be
+    /// resumed.
     Stream,
 }
 
-/// A service's part of a route's traffic.
+/// A service's weighted share of a route's traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficShare {
     /// The service.
     pub service: Name,
-    /// Its weight among the route's shares.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
-/// One route.
+/// Maps a host and path prefix to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: Name,
-    /// Host it answers for.
+    /// Host that the route matches.
     pub host: Name,
-    /// Path prefix it covers; the longest one that fits wins.
+    /// Path prefix that the route matches; the longest matching prefix wins.
     pub path_prefix: Name,
-    /// What repeating its requests may do.
+    /// Whether its requests may be executed more than once.
     pub kind: RouteKind,
-    /// Longest a request may be kept waiting, in ms.
+    /// Maximum time that a request may wait, in ms.
     pub timeout_ms: u64,
-    /// Latency objective, in ms: to the first event for streams.
+    /// Latency objective, in ms; for streams, until the first event.
     pub objective_ms: u64,
-    /// Rank; 0 is served first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Where its requests go.
+    /// Services that receive its requests.
     pub shares: Vec<TrafficShare>,
-    /// Most targets one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another target.
+    /// Whether an interrupted stream may be resumed at another target.
     pub resumable: bool,
-    /// Whether anybody may call it, without a key.
+    /// Whether the route can be called without a key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be executed more than once.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -64,58 +65,61 @@
         }
     }
 
-    /// The service for the request with this draw, by the shares' weights.
+    /// Picks a service by weight; `draw` is a uniformly random number.
     pub fn pick_service(&self, draw: u64) -> Option<&Name> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let mut at = draw % total.max(1);
+        let mut offset = draw % total.max(1);
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if at < weight {
+            if offset < weight {
                 return Some(&share.service);
             }
-            at -= weight;
+            offset -= weight;
         }
         self.shares.first().map(|s| &s.service)
     }
 }
 
-/// A base model that engines of a service can hold.
+/// A base model that the engines of a service can load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
     /// Its name.
     pub name: Name,
-    /// Size of its weights, in MB.
+    /// Size of the weights, in MB.
     pub weights_mb: f64,
-    /// Time of a load from the weight store, in ms.
+    /// Time to load the weights from the weight store, in ms.
     pub load_ms: u64,
     /// Size of one adapter, in MB.
     pub adapter_mb: f64,
 }
 
-/// What the engines of a model service share.
+/// Settings common to all engines of a model service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineConfig {
-    /// Requests one engine runs at once.
+    /// Maximum number of requests that one engine runs concurrently.
     pub max_running: u32,
-    /// Tokens that running requests and kept prompt parts share.
+    /// Capacity of the token cache, shared by running requests and cached
+    /// prompt segments.
     pub cache_tokens: u64,
-    /// Room for weights and adapters, in MB.
+    /// Memory for model weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Places for adapters, those on their way included.
+    /// Number of adapter slots, including those of adapters that are being
+    /// loaded.
     pub adapter_slots: u32,
-    /// Loads a second that the weight store allows over all engines.
+    /// Loads per second that the weight store permits across all engines.
     pub load_rate: f64,
-    /// The models.
+    /// Models that the engines can load.
     pub models: Vec<Model>,
 }
 
 impl EngineConfig {
-    /// The model `name`.
+    /// The model called `name`.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|m| &*m.name == name)
     }
 
-    /// How many adapters of `model` one engine has room for beside it.
+    /// Maximum number of adapters of `model` that fit into one engine beside
+    /// the model.
     pub fn max_adapters(&self, model: &Model) -> u32 {
         let left = (self.weights_mb - model.weights_mb).max(0.0);
         match model.adapter_mb > 0.0 {
@@ -125,56 +129,56 @@
     }
 }
 
-/// A service that targets serve.
+/// A service provided by a set of targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// Connections one target takes from all callers together.
+    /// Maximum number of connections to one target, over all clients together.
     pub max_connections: u32,
-    /// Present if its targets are model engines.
+    /// Engine settings; present only if the targets are model engines.
     pub engine: Option<EngineConfig>,
 }
 
-/// What callers may send.
+/// Limits on what clients may send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestLimits {
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest a request head may take to arrive, in ms.
+    /// Maximum time for a request head to arrive, in ms.
     pub header_timeout_ms: u64,
-    /// Longest a connection may stay idle, in ms.
+    /// Maximum idle time of a connection, in ms.
     pub idle_timeout_ms: u64,
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Grows with every change.
+    /// Increases with every change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services by name.
+    /// All services, by name.
     pub services: Map<Name, Service>,
-    /// What callers may send.
+    /// Limits on what clients may send.
     pub limits: RequestLimits,
-    /// Who may call; `None` if anybody may.
+    /// Workspaces that may call; `None` if no key is required.
     pub workspaces: Option<Workspaces>,
 }
 
-/// Who calls.
+/// The authenticated origin of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Caller {
-    /// Anybody: no key is asked for.
+    /// No key is required.
     Anonymous,
     /// The workspace that the key belongs to.
     Workspace(Arc<Workspace>),
 }
 
 impl Caller {
-    /// The workspace, if one is known.
+    /// The workspace, if the caller is authenticated.
     pub fn workspace(&self) -> Option<&Arc<Workspace>> {
         match self {
             Caller::Anonymous => None,
@@ -184,7 +188,8 @@
 }
 
 impl Config {
-    /// Who calls `route` with `key`; `None` if the key belongs to nobody.
+    /// Resolves the caller of `route` from its API key; `None` if the key is
+    /// missing or unknown.
     pub fn resolve_caller(&self, route: &Route, key: Option<&PresentedKey>) -> Option<Caller> {
         let Some(workspaces) = self.workspaces.as_ref().filter(|_| !route.public) else {
             return Some(Caller::Anonymous);
@@ -193,7 +198,7 @@
         Some(Caller::Workspace(workspace.clone()))
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// The route for `host` with the longest prefix that matches `path`.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
--- a/crates/comfreyhall-domain/src/lib.rs
+++ b/crates/comfreyhall-domain/src/lib.rs
@@ -1,10 +1,11 @@
-//! The words comfreyhall decides in, free of any wire.
+//! Domain types that the daemon's decisions work on, independent of any wire
+//! format.
 //!
 //! Routes and services as configured ([`Config`]), targets as discovered
-//! ([`Target`]), the facts of one request that decisions need ([`ClientRequest`]), and
-//! what can become of sending it ([`Outcome`]). Drivers translate their wire
-//! into these types at the border; nothing here knows a header or a field
-//! name of any wire.
+//! ([`Target`]), the parts of a request that decisions need
+//! ([`ClientRequest`]), and the possible results of sending it ([`Outcome`]).
+//! Drivers convert their wire format into these types at the boundary; nothing
+//! here knows a header or a field name of any protocol.
 
 mod ask;
 mod config;
@@ -25,7 +26,7 @@
 pub use ranks::PriorityTable;
 pub use target::{LoadedModel, Stage, Target};
 
-/// A shared immutable name.
+/// A shared, immutable string.
 pub type Name = std::sync::Arc<str>;
 
 #[cfg(test)]
--- a/crates/comfreyhall-domain/src/outcome.rs
+++ b/crates/comfreyhall-domain/src/outcome.rs
@@ -1,51 +1,54 @@
-//! What becomes of sending a request, and the one place that chooses the
-//! answer from it.
+//! Outcomes of sending a request, and the only code that derives the client's
+//! answer from them.
 //!
-//! A caller repeats a request after an answer that says "not run", so that
-//! answer is a promise. [`SendHistory`] collects every send of a request and
-//! [`answer_for`] (with [`answer_quarantined`] for requests that are held back)
-//! alone chooses between the promise and an answer that promises nothing; no other code picks a status for a request that may
-//! have reached a target.
+//! Clients repeat a request after an answer that says "not run", so that answer
+//! is a guarantee. [`SendHistory`] accumulates every send of a request. Only
+//! [`answer_for`], and [`answer_quarantined`] for requests that are
+//! quarantined, choose between that guarantee and an answer that promises
+//! nothing; no other code picks a status for a request that may have reached a
+//! target.
 
-/// Why a target, or we, did not run a request.
+/// Why a target, or this daemon, did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The target has no room.
+    /// The target is at capacity.
     Full,
-    /// The target does not hold the adapter or version, or is another boot.
+    /// The target does not have the adapter or version, or it has restarted
+    /// since.
     WrongTarget,
-    /// The target refused the request for a reason of its own.
+    /// The target refused the request for another reason.
     Other,
 }
 
-/// What became of one send.
+/// Result of sending a request to one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing reached the target.
+    /// The request did not reach the target.
     NotSent,
-    /// The target proved that it did not run it.
+    /// The target confirmed that it did not run the request.
     Refused(Refusal),
-    /// It may have run: no answer, or none that belongs to it.
+    /// The request may have run: there was no answer, or none that can be
+    /// attributed to it.
     Indeterminate,
-    /// The target answered whole.
+    /// The target sent a complete answer.
     Answered,
-    /// The answer began and broke off.
+    /// The answer started, but the connection broke off before its end.
     Broken,
 }
 
-/// What all sends of a request together prove.
+/// What is known about a request after all its sends so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SendHistory {
-    /// Targets it was sent to.
+    /// Number of targets that the request was sent to.
     pub sends: u32,
-    /// Whether some send may have run it.
+    /// Whether any send may have run the request.
     pub may_have_run: bool,
-    /// The last refusal.
+    /// The most recent refusal.
     pub last_refusal: Option<Refusal>,
 }
 
 impl SendHistory {
-    /// Takes in the outcome of one more send.
+    /// Records the outcome of one more send.
     pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotSent => {}
@@ -62,41 +65,43 @@
 
     /// Whether the request may be sent to one more target.
     ///
-    /// `repeatable`: it may run more than once. `attempts`: most targets.
-    pub fn may_send(&self, repeatable: bool, attempts: u32) -> bool {
-        self.sends < attempts.max(1) && (repeatable || !self.may_have_run)
+    /// `repeatable`: the request may run more than once. `max_attempts`:
+    /// maximum number of targets.
+    pub fn may_send(&self, repeatable: bool, max_attempts: u32) -> bool {
+        self.sends < max_attempts.max(1) && (repeatable || !self.may_have_run)
     }
 }
 
-/// The answer to a request that no target answered.
+/// The answer to a request that no target answered completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// It has not run and never will; come back after so many ms.
+    /// The request has not run and will not run.
     NotRun {
-        /// When to come back.
+        /// Delay after which the client may retry, in ms.
         retry_ms: u64,
     },
-    /// It may have run, and the time for it is up.
+    /// The request may have run, and its deadline has passed.
     TimedOut,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Its workspace is over its cap: it has not run and never will.
+    /// The workspace is over its quota; the request has not run and will not
+    /// run.
     OverCap {
-        /// When there will be room for it again.
+        /// Delay until the quota allows the request again, in ms.
         retry_ms: u64,
     },
-    /// It is held back: targets ended under it, and it is not sent again for
-    /// now.
+    /// The request is quarantined: targets crashed while running it, so it is
+    /// not sent again for now.
     Quarantined {
-        /// Whether a send of this attempt may have run.
+        /// Whether any send of this attempt may have run.
         may_have_run: bool,
-        /// When to come back.
+        /// Delay after which the client may retry, in ms.
         retry_ms: u64,
     },
 }
 
 impl Answer {
-    /// Its name in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::NotRun { .. } => "not_run",
@@ -108,19 +113,20 @@
     }
 }
 
-/// The answer to a request that is held back after `verdict`.
-pub fn answer_quarantined(verdict: &SendHistory, retry_ms: u64) -> Answer {
+/// The answer to a quarantined request.
+pub fn answer_quarantined(history: &SendHistory, retry_ms: u64) -> Answer {
     Answer::Quarantined {
-        may_have_run: verdict.may_have_run,
+        may_have_run: history.may_have_run,
         retry_ms,
     }
 }
 
-/// The answer to a request after `verdict`.
+/// The answer to a request that no target answered completely.
 ///
-/// `late`: its time is up. `retry_ms`: when to come back if it has not run.
-pub fn answer_for(verdict: &SendHistory, late: bool, retry_ms: u64) -> Answer {
-    match (verdict.may_have_run, late) {
+/// `late`: the deadline has passed. `retry_ms`: delay after which the client
+/// may retry if the request has not run.
+pub fn answer_for(history: &SendHistory, late: bool, retry_ms: u64) -> Answer {
+    match (history.may_have_run, late) {
         (false, _) => Answer::NotRun { retry_ms },
         (true, true) => Answer::TimedOut,
         (true, false) => Answer::Unknown,
--- a/crates/comfreyhall-domain/src/ranks.rs
+++ b/crates/comfreyhall-domain/src/ranks.rs
@@ -1,19 +1,20 @@
-//! The order of requests by workspace and route.
+//! Combined priority of requests by workspace and route.
 //!
-//! A workspace's rank goes before its route's. Targets and queues know one
-//! number, so each pair of ranks that a configuration has gets its place.
+//! A workspace's rank takes precedence over its route's priority. Targets and
+//! queues understand only a single number, so each (workspace, route) pair that
+//! occurs in a configuration is mapped to a position in one order.
 
 use crate::{Caller, Config, Route};
 
-/// Places that targets tell apart.
-const PLACES: usize = 10;
+/// Number of priority levels that targets distinguish.
+const LEVELS: usize = 10;
 
-/// All pairs of ranks of a configuration, in order.
+/// All priority pairs of a configuration, in ascending order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PriorityTable(Vec<(u8, u8)>);
 
 impl PriorityTable {
-    /// The pairs of `config`; none if it has no workspaces.
+    /// The pairs in `config`; empty if it has no workspaces.
     pub fn from_config(config: &Config) -> Self {
         let Some(workspaces) = &config.workspaces else {
             return Self::default();
@@ -35,7 +36,7 @@
         Self(pairs)
     }
 
-    /// Place of a request of `caller` on `route`; 0 is first.
+    /// Priority level of a request from `caller` on `route`; 0 is served first.
     pub fn position(&self, caller: &Caller, route: &Route) -> u8 {
         let rank = caller.workspace().and_then(|w| w.rank);
         let pair = (rank.unwrap_or(route.priority), route.priority);
@@ -43,10 +44,10 @@
             return route.priority;
         }
         let before = self.0.partition_point(|p| *p < pair);
-        let place = match self.0.len() > PLACES {
-            true => before * PLACES / self.0.len(),
+        let level = match self.0.len() > LEVELS {
+            true => before * LEVELS / self.0.len(),
             false => before,
         };
-        place as u8
+        level as u8
     }
 }
--- a/crates/comfreyhall-domain/src/target.rs
+++ b/crates/comfreyhall-domain/src/target.rs
@@ -1,57 +1,58 @@
-//! Targets (back ends) as discovered.
+//! Targets (back ends), as discovered.
 
 use crate::Name;
 
-/// Where a target is in its life.
+/// Lifecycle stage of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Takes work.
+    /// Accepts new requests.
     Ready,
-    /// Ends soon and takes no new work.
+    /// Is about to stop and accepts no new requests.
     Draining,
 }
 
-/// A model that an engine holds, with its adapters.
+/// A model loaded in an engine, with its adapters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadedModel {
     /// The model.
     pub model: Name,
-    /// Adapters held with it, each with its version.
+    /// Loaded adapters, each with its version.
     pub adapters: Vec<(Name, u64)>,
 }
 
-/// One boot of one target, as last published.
+/// One boot (one start of the process) of a target, as last published.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Id of this boot; a restart gets another. All that is known of a target
-    /// is kept under it, so nothing learned from one boot is taken for
-    /// another's: not what it holds, nor how many orders it accepted.
+    /// Id of this boot; a restart gets a new one. All state about a target is
+    /// keyed by it, so nothing learned from one boot is attributed to another:
+    /// neither what it has loaded nor how many commands it has accepted.
     pub id: Name,
-    /// Name that it is listed under; a restart may keep it.
+    /// Name under which the target is registered; it may stay the same after a
+    /// restart.
     pub name: Name,
-    /// When this boot started, in Unix ms; 0 if it does not say.
+    /// Start time of this boot, in Unix ms; 0 if unknown.
     pub started_at_ms: u64,
-    /// The service it serves.
+    /// The service that it provides.
     pub service: Name,
-    /// `ip:port`.
+    /// Address, as `ip:port`.
     pub addr: Name,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub failure_domain: Name,
-    /// Where it is in its life.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// Requests it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub max_running: u32,
-    /// Models held; empty for plain services.
+    /// Loaded models; empty for plain services.
     pub loaded: Vec<LoadedModel>,
-    /// Orders accepted since it booted.
+    /// Number of commands accepted since it booted.
     pub accepted_commands: u64,
-    /// Version of the row that says so.
+    /// Version of the stored row that this state was read from.
     pub row_version: u64,
 }
 
 impl Target {
-    /// Whether it holds `model`.
+    /// Whether `model` is loaded.
     pub fn has_model(&self, model: &str) -> bool {
-        self.loaded.iter().any(|h| &*h.model == model)
+        self.loaded.iter().any(|loaded| &*loaded.model == model)
     }
 }
--- a/crates/comfreyhall-domain/src/tests.rs
+++ b/crates/comfreyhall-domain/src/tests.rs
@@ -41,19 +41,25 @@
 }
 
 #[test]
-fn route_longest_prefix_wins() {
-    let c = config(vec![
+fn match_route_longest_prefix_wins() {
+    let config = config(vec![
         route("/a/", RouteKind::Idempotent),
         route("/a/b/", RouteKind::Idempotent),
     ]);
-    assert_eq!(&*c.match_route("h", "/a/b/c").unwrap().path_prefix, "/a/b/");
-    assert_eq!(&*c.match_route("h", "/a/c").unwrap().path_prefix, "/a/");
-    assert!(c.match_route("h", "/b").is_none());
-    assert!(c.match_route("other", "/a/b/c").is_none());
+    assert_eq!(
+        &*config.match_route("h", "/a/b/c").unwrap().path_prefix,
+        "/a/b/"
+    );
+    assert_eq!(
+        &*config.match_route("h", "/a/c").unwrap().path_prefix,
+        "/a/"
+    );
+    assert!(config.match_route("h", "/b").is_none());
+    assert!(config.match_route("other", "/a/b/c").is_none());
 }
 
 #[test]
-fn service_draw_follows_weights() {
+fn pick_service_follows_weights() {
     let r = route("/", RouteKind::Idempotent);
     let hits = (0..100)
         .filter(|d| &**r.pick_service(*d).unwrap() == "b")
@@ -61,27 +67,30 @@
     assert_eq!(hits, 10);
 }
 
-/// Symptom: an enquiry reached its seller twice. Events: the send got no
-/// answer; a second target refused; the caller was told "not run" and came
-/// back. Cause: the last refusal alone decided the answer.
+/// Guards against a "not run" answer to a request that may have run. A send
+/// gets no answer and a second target refuses; if the last refusal alone
+/// decided the answer, the client would repeat a request that had already run.
 #[test]
-fn answer_doubt_outlasts_refusal() {
-    let mut v = SendHistory::default();
-    v.record(Outcome::Indeterminate);
-    assert!(!v.may_send(false, 3));
-    assert!(v.may_send(true, 3));
-    v.record(Outcome::Refused(Refusal::Full));
-    assert_eq!(answer_for(&v, false, 5), Answer::Unknown);
-    assert_eq!(answer_for(&v, true, 5), Answer::TimedOut);
+fn answer_for_uncertain_send_outlasts_refusal() {
+    let mut history = SendHistory::default();
+    history.record(Outcome::Indeterminate);
+    assert!(!history.may_send(false, 3));
+    assert!(history.may_send(true, 3));
+    history.record(Outcome::Refused(Refusal::Full));
+    assert_eq!(answer_for(&history, false, 5), Answer::Unknown);
+    assert_eq!(answer_for(&history, true, 5), Answer::TimedOut);
 }
 
 #[test]
-fn answer_unsent_is_not_run() {
-    let mut v = SendHistory::default();
-    v.record(Outcome::NotSent);
-    v.record(Outcome::Refused(Refusal::WrongTarget));
-    assert_eq!(v.sends, 1);
-    assert_eq!(answer_for(&v, true, 7), Answer::NotRun { retry_ms: 7 });
+fn answer_for_unsent_is_not_run() {
+    let mut history = SendHistory::default();
+    history.record(Outcome::NotSent);
+    history.record(Outcome::Refused(Refusal::WrongTarget));
+    assert_eq!(history.sends, 1);
+    assert_eq!(
+        answer_for(&history, true, 7),
+        Answer::NotRun { retry_ms: 7 }
+    );
 }
 
 fn workspaces() -> comfreyhall_workspace::Workspaces {
@@ -96,22 +105,25 @@
 }
 
 #[test]
-fn caller_is_the_key_s_workspace() {
+fn resolve_caller_returns_workspace_of_key() {
     let key = |text: &str| comfreyhall_workspace::PresentedKey::new(text.as_bytes());
-    let mut c = config(vec![route("/a/", RouteKind::Idempotent)]);
-    let closed = c.routes[0].clone();
-    assert_eq!(c.resolve_caller(&closed, None), Some(Caller::Anonymous));
-    c.workspaces = Some(workspaces());
-    let known = c.resolve_caller(&closed, Some(&key("k1"))).unwrap();
+    let mut config = config(vec![route("/a/", RouteKind::Idempotent)]);
+    let closed = config.routes[0].clone();
+    assert_eq!(
+        config.resolve_caller(&closed, None),
+        Some(Caller::Anonymous)
+    );
+    config.workspaces = Some(workspaces());
+    let known = config.resolve_caller(&closed, Some(&key("k1"))).unwrap();
     assert_eq!(&*known.workspace().unwrap().name, "w");
-    assert_eq!(c.resolve_caller(&closed, Some(&key("k2"))), None);
-    assert_eq!(c.resolve_caller(&closed, None), None);
+    assert_eq!(config.resolve_caller(&closed, Some(&key("k2"))), None);
+    assert_eq!(config.resolve_caller(&closed, None), None);
     let public = Route {
         public: true,
         ..closed
     };
     assert_eq!(
-        c.resolve_caller(&public, Some(&key("k1"))),
+        config.resolve_caller(&public, Some(&key("k1"))),
         Some(Caller::Anonymous)
     );
 }
