--- a/crates/comfreyhall-workspace/src/pace.rs
+++ b/crates/comfreyhall-workspace/src/demand.rs
@@ -6,16 +6,16 @@
 
 /// Units a second over about the last second.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pace {
+pub(crate) struct DemandRate {
     count: f64,
-    at: u64,
+    updated_at_ms: u64,
 }
 
-impl Pace {
+impl DemandRate {
     /// Takes in a request of `units` at `now`.
-    pub(crate) fn bump(&mut self, units: f64, now: u64) {
+    pub(crate) fn add(&mut self, units: f64, now: u64) {
         self.count = self.decayed(now) + units;
-        self.at = now;
+        self.updated_at_ms = now;
     }
 
     /// Units a second.
@@ -24,7 +24,7 @@
     }
 
     fn decayed(&self, now: u64) -> f64 {
-        let age = now.saturating_sub(self.at) as f64;
-        self.count * (-age / HALF_LIFE_MS).exp2()
+        let age_ms = now.saturating_sub(self.updated_at_ms) as f64;
+        self.count * (-age_ms / HALF_LIFE_MS).exp2()
     }
 }
--- a/crates/comfreyhall-workspace/src/entry.rs
+++ b/crates/comfreyhall-workspace/src/entry.rs
@@ -69,7 +69,7 @@
     MissingName,
     /// Two entries have one name.
     #[error(
-        "workspace {0} is listed twice: the lower cap counts for the keys of both; \
+        "workspace {0} is listed twice: the lower quota counts for the keys of both; \
          write one entry"
     )]
     DuplicateName(String),
@@ -96,7 +96,7 @@
     /// The rate or the burst is no number of units.
     #[error(
         "the {field} of workspace {name} is no number of 0 or more, so it may use nothing; \
-         give one, or leave the rate out for no cap"
+         give one, or leave the rate out for no quota"
     )]
     InvalidQuota {
         /// The workspace.
@@ -120,26 +120,26 @@
     hasher: KeyHasher,
     entries: Vec<WorkspaceEntry>,
 ) -> (Workspaces, Vec<EntryProblem>) {
-    let mut reading = Reading::default();
+    let mut reader = EntryReader::default();
     for entry in entries {
-        reading.take(entry);
+        reader.read_entry(entry);
     }
-    reading.finish(hasher)
+    reader.finish(hasher)
 }
 
 /// Entries read so far.
 #[derive(Default)]
-struct Reading {
+struct EntryReader {
     all: Vec<Workspace>,
     /// Place in `all` by name.
-    places: Map<Name, usize>,
+    indices: Map<Name, usize>,
     /// Whose each key is; `None` for a key of two.
     keys: Map<KeyHash, Option<usize>>,
     problems: Vec<EntryProblem>,
 }
 
-impl Reading {
-    fn take(&mut self, entry: WorkspaceEntry) {
+impl EntryReader {
+    fn read_entry(&mut self, entry: WorkspaceEntry) {
         if entry.name.is_empty() {
             self.problems.push(EntryProblem::MissingName);
             return;
@@ -153,39 +153,39 @@
             rank: self.rank(&entry),
             allowance: self.allowance(&entry),
         };
-        let place = self.place(workspace);
+        let index = self.insert_or_merge(workspace);
         for key in entry.keys {
-            self.give(key, place);
+            self.assign_key(key, index);
         }
     }
 
     /// Where `workspace` stands in `all`.
-    fn place(&mut self, workspace: Workspace) -> usize {
-        if let Some(place) = self.places.get(&workspace.name).copied() {
+    fn insert_or_merge(&mut self, workspace: Workspace) -> usize {
+        if let Some(index) = self.indices.get(&workspace.name).copied() {
             self.problems
                 .push(EntryProblem::DuplicateName(workspace.name.to_string()));
-            let known = &mut self.all[place];
+            let known = &mut self.all[index];
             known.allowance = stricter(known.allowance, workspace.allowance);
             known.rank = known.rank.max(workspace.rank);
-            return place;
+            return index;
         }
-        let place = self.all.len();
-        self.places.insert(workspace.name.clone(), place);
+        let index = self.all.len();
+        self.indices.insert(workspace.name.clone(), index);
         self.all.push(workspace);
-        place
+        index
     }
 
     /// Gives `key` to the workspace at `place`, unless another has it.
-    fn give(&mut self, key: KeyHash, place: usize) {
+    fn assign_key(&mut self, key: KeyHash, index: usize) {
         match self.keys.get(&key).copied() {
             None => {
-                self.keys.insert(key, Some(place));
+                self.keys.insert(key, Some(index));
             }
-            Some(Some(other)) if other != place => {
+            Some(Some(other)) if other != index => {
                 self.keys.insert(key, None);
                 self.problems.push(EntryProblem::SharedKey {
                     first: self.all[other].name.to_string(),
-                    second: self.all[place].name.to_string(),
+                    second: self.all[index].name.to_string(),
                 });
             }
             Some(_) => {}
@@ -220,7 +220,7 @@
         let unit = match entry.unit {
             RawUnit::Requests => QuotaUnit::Requests,
             RawUnit::Tokens => QuotaUnit::Tokens {
-                default_tokens: self.plain(entry, rate),
+                default_tokens: self.default_tokens(entry, rate),
             },
             RawUnit::Invalid => {
                 self.problems
@@ -236,9 +236,9 @@
         &mut self,
         entry: &WorkspaceEntry,
         field: &'static str,
-        given: RawNumber,
+        raw: RawNumber,
     ) -> Option<f64> {
-        match given {
+        match raw {
             RawNumber::Absent => Some(0.0),
             RawNumber::Number(n) if n.is_finite() && n >= 0.0 => Some(n),
             RawNumber::Number(_) | RawNumber::Invalid => {
@@ -251,7 +251,7 @@
         }
     }
 
-    fn plain(&mut self, entry: &WorkspaceEntry, rate: f64) -> u64 {
+    fn default_tokens(&mut self, entry: &WorkspaceEntry, rate: f64) -> u64 {
         match entry.default_tokens {
             RawNumber::Number(n) if n.is_finite() && n >= 1.0 => n as u64,
             RawNumber::Absent | RawNumber::Number(_) | RawNumber::Invalid => {
@@ -264,9 +264,9 @@
 
     fn finish(self, hasher: KeyHasher) -> (Workspaces, Vec<EntryProblem>) {
         let all: Vec<Arc<Workspace>> = self.all.into_iter().map(Arc::new).collect();
-        let owned = self.keys.into_iter();
-        let owned = owned.filter_map(|(key, place)| Some((key, all[place?].clone())));
-        let by_key = owned.collect();
+        let assigned = self.keys.into_iter();
+        let assigned = assigned.filter_map(|(key, index)| Some((key, all[index?].clone())));
+        let by_key = assigned.collect();
         (Workspaces::new(hasher, by_key, all), self.problems)
     }
 }
--- a/crates/comfreyhall-workspace/src/granting.rs
+++ b/crates/comfreyhall-workspace/src/granting.rs
@@ -12,66 +12,66 @@
 
 use crate::{
     FleetView, GrantLine, Name, PeerProcess, Quota, QuotaSnapshot, RateLimiter, ReserveOutcome,
-    SettleReply, SettleRequest, UsageLine, meter::PlacedQuota,
+    SettleReply, SettleRequest, UsageLine, limiter::PlacedQuota,
 };
 
 /// Units and seconds of the rate that may gather in the bucket: with a single
 /// request, those that come a moment apart would leave part of the rate unused.
-const GATHER: f64 = 2.0;
-const GATHER_S: f64 = 0.5;
+const BASE_CAPACITY: f64 = 2.0;
+const CAPACITY_S: f64 = 0.5;
 
 /// How long credit that was granted may wait for its request, in ms.
-const KEEP_MS: u64 = 400;
+const CREDIT_TTL_MS: u64 = 400;
 
 /// Longest that a call may be on its way, in ms.
-const CALL_MS: u64 = 400;
+const CALL_TIMEOUT_MS: u64 = 400;
 
 /// How long a home that did not answer is not asked, in ms.
-const SILENT_MS: u64 = 300;
+const BACKOFF_MS: u64 = 300;
 
 /// Until a home may be found where none is known, in ms.
-const FIND_MS: u64 = 250;
+const DISCOVERY_MS: u64 = 250;
 
 /// Part of the time between two requests after which the next one that was
 /// refused is to come back: some of them have gone elsewhere meanwhile.
-const TURN_PART: f64 = 0.7;
+const RETRY_SPACING: f64 = 0.7;
 
 /// Longest that a refused one is told to wait, in ms.
-const LONGEST_MS: f64 = 5_000.0;
+const MAX_RETRY_MS: f64 = 5_000.0;
 
 /// The bucket of one cap at its home.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     balance: f64,
     /// Up to when it was filled.
-    filled: u64,
+    filled_at_ms: u64,
     /// When the last of those that were refused is to come back.
-    turn: u64,
+    last_retry_ms: u64,
 }
 
 impl Bucket {
     fn new(now: u64) -> Self {
         Self {
             balance: 0.0,
-            filled: now,
-            turn: now,
+            filled_at_ms: now,
+            last_retry_ms: now,
         }
     }
 
     /// What there is at `now`.
-    fn at(&self, cap: &Quota, now: u64) -> f64 {
-        let passed = now.saturating_sub(self.filled) as f64 / 1_000.0;
-        (self.balance + passed * cap.rate).min(most(cap))
+    fn level(&self, quota: &Quota, now: u64) -> f64 {
+        let passed = now.saturating_sub(self.filled_at_ms) as f64 / 1_000.0;
+        (self.balance + passed * quota.rate).min(capacity(quota))
     }
 
     /// Takes out what `need` lacks, in whole requests of `least`.
-    fn grant(&mut self, cap: &Quota, need: f64, least: f64, now: u64) -> f64 {
-        self.balance = self.at(cap, now);
-        self.filled = now;
-        let least = least.max(f64::MIN_POSITIVE);
+    fn grant(&mut self, quota: &Quota, need: f64, min_need: f64, now: u64) -> f64 {
+        self.balance = self.level(quota, now);
+        self.filled_at_ms = now;
+        let min_need = min_need.max(f64::MIN_POSITIVE);
         let grant = match self.balance >= need {
             true => need,
-            false => (self.balance / least).floor() * least,
+            false => (self.balance / min_need).floor() * min_need,
         };
         self.balance -= grant;
         grant
@@ -79,161 +79,161 @@
 
     /// Ms until one that was refused should come back: each has a turn of its
     /// own, so that they do not come together.
-    fn turn_ms(&mut self, cap: &Quota, size: f64, now: u64) -> u64 {
-        let ms = |units: f64| units / cap.rate.max(f64::MIN_POSITIVE) * 1_000.0;
-        let there = now as f64 + ms(size - self.at(cap, now));
-        let after = self.turn as f64 + ms(size) * TURN_PART;
-        let longest = now as f64 + LONGEST_MS;
-        let turn = there.max(after);
-        if turn > longest {
+    fn retry_delay_ms(&mut self, quota: &Quota, size: f64, now: u64) -> u64 {
+        let ms = |units: f64| units / quota.rate.max(f64::MIN_POSITIVE) * 1_000.0;
+        let available_at = now as f64 + ms(size - self.level(quota, now));
+        let after_previous = self.last_retry_ms as f64 + ms(size) * RETRY_SPACING;
+        let latest = now as f64 + MAX_RETRY_MS;
+        let retry_at = available_at.max(after_previous);
+        if retry_at > latest {
             // Too many wait: those beyond share the second half of the time.
-            let over = (turn - longest) % (LONGEST_MS / 2.0);
-            return (LONGEST_MS - over) as u64;
+            let excess = (retry_at - latest) % (MAX_RETRY_MS / 2.0);
+            return (MAX_RETRY_MS - excess) as u64;
         }
-        self.turn = turn as u64;
-        self.turn.saturating_sub(now).max(1)
+        self.last_retry_ms = retry_at as u64;
+        self.last_retry_ms.saturating_sub(now).max(1)
     }
 }
 
 /// Most that gathers in a bucket.
-fn most(cap: &Quota) -> f64 {
-    GATHER + cap.burst + cap.rate * GATHER_S
+fn capacity(quota: &Quota) -> f64 {
+    BASE_CAPACITY + quota.burst + quota.rate * CAPACITY_S
 }
 
 /// Credit for one cap at the daemon that asked for it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Purse {
+struct CreditBalance {
     balance: f64,
-    until: u64,
+    expires_at_ms: u64,
     need: f64,
-    least: f64,
-    refused_until: u64,
+    min_need: f64,
+    refused_until_ms: u64,
 }
 
-impl Purse {
-    fn take(&mut self, size: f64, now: u64) -> bool {
-        let enough = self.balance >= size && now < self.until;
+impl CreditBalance {
+    fn try_take(&mut self, size: f64, now: u64) -> bool {
+        let enough = self.balance >= size && now < self.expires_at_ms;
         if enough {
             self.balance -= size;
         }
         enough
     }
 
-    fn lack(&mut self, size: f64) {
-        self.least = match self.need > 0.0 {
-            true => self.least.min(size),
+    fn add_need(&mut self, size: f64) {
+        self.min_need = match self.need > 0.0 {
+            true => self.min_need.min(size),
             false => size,
         };
         self.need += size;
     }
 
-    fn put(&mut self, credit: f64, now: u64) {
-        if now >= self.until {
+    fn deposit(&mut self, credit: f64, now: u64) {
+        if now >= self.expires_at_ms {
             self.balance = 0.0;
         }
         self.balance += credit;
-        self.until = now + KEEP_MS;
+        self.expires_at_ms = now + CREDIT_TTL_MS;
     }
 }
 
 /// One group, as seen from here.
 #[derive(Debug, Default)]
-struct Link {
-    home: Option<PeerProcess>,
+struct CoordinatorLink {
+    coordinator: Option<PeerProcess>,
     serial: u64,
     /// The last call that was answered or given up.
-    answered: u64,
-    called: u64,
-    calling: bool,
+    last_answered: u64,
+    called_at_ms: u64,
+    in_flight: bool,
     /// Whether requests wait for an answer.
     urgent: bool,
-    silent_until: u64,
+    backoff_until_ms: u64,
 }
 
-impl Link {
-    fn busy(&self, now: u64) -> bool {
-        self.calling && now.saturating_sub(self.called) < CALL_MS
+impl CoordinatorLink {
+    fn is_busy(&self, now: u64) -> bool {
+        self.in_flight && now.saturating_sub(self.called_at_ms) < CALL_TIMEOUT_MS
     }
 }
 
 /// Caps by granting.
 pub struct GrantingLimiter {
-    me: PeerProcess,
-    kept: Map<Name, PlacedQuota>,
-    links: Map<Name, Link>,
-    purses: Map<Name, Purse>,
+    local: PeerProcess,
+    quotas: Map<Name, PlacedQuota>,
+    links: Map<Name, CoordinatorLink>,
+    credits: Map<Name, CreditBalance>,
     buckets: Map<Name, Bucket>,
 }
 
 impl GrantingLimiter {
     /// Nothing is known yet.
-    pub fn new(me: PeerProcess) -> Self {
+    pub fn new(local: PeerProcess) -> Self {
         Self {
-            me,
-            kept: Map::default(),
+            local,
+            quotas: Map::default(),
             links: Map::default(),
-            purses: Map::default(),
+            credits: Map::default(),
             buckets: Map::default(),
         }
     }
 
-    fn link_of(&self, cap: &str) -> Option<&Link> {
-        self.links.get(&self.kept.get(cap)?.group)
+    fn link_for(&self, name: &str) -> Option<&CoordinatorLink> {
+        self.links.get(&self.quotas.get(name)?.group)
     }
 
     /// Whether this daemon is the home of `group`.
-    fn at_home(&self, group: &str) -> bool {
+    fn is_coordinator(&self, group: &str) -> bool {
         let link = self.links.get(group);
-        link.is_some_and(|l| l.home.as_ref() == Some(&self.me))
+        link.is_some_and(|l| l.coordinator.as_ref() == Some(&self.local))
     }
 
     /// Grants out of the own bucket: how much, and when to come back for the
     /// rest, in ms.
-    fn grant(&mut self, name: &str, need: f64, least: f64, now: u64) -> (f64, u64) {
-        let Some((name, kept)) = self.kept.get_key_value(name) else {
-            return (0.0, FIND_MS);
+    fn grant(&mut self, name: &str, need: f64, min_need: f64, now: u64) -> (f64, u64) {
+        let Some((name, placed)) = self.quotas.get_key_value(name) else {
+            return (0.0, DISCOVERY_MS);
         };
         let bucket = self.buckets.entry(name.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(now));
-        let grant = bucket.grant(&kept.quota, need, least, now);
+        let grant = bucket.grant(&placed.quota, need, min_need, now);
         match grant < need {
-            true => (grant, bucket.turn_ms(&kept.quota, least, now)),
+            true => (grant, bucket.retry_delay_ms(&placed.quota, min_need, now)),
             false => (grant, 0),
         }
     }
 }
 
 impl RateLimiter for GrantingLimiter {
-    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
-        for (name, new) in &kept {
+    fn set_quotas(&mut self, quotas: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
+        for (name, new) in &quotas {
             // What gathered at the old rate is bounded by the new one.
-            if let (Some(bucket), Some(old)) = (self.buckets.get_mut(name), self.kept.get(name)) {
-                bucket.balance = bucket.at(&old.quota, now).min(most(&new.quota));
-                bucket.filled = now;
+            if let (Some(bucket), Some(old)) = (self.buckets.get_mut(name), self.quotas.get(name)) {
+                bucket.balance = bucket.level(&old.quota, now).min(capacity(&new.quota));
+                bucket.filled_at_ms = now;
             }
         }
-        self.kept = kept;
-        let kept = &self.kept;
-        self.purses.retain(|name, _| kept.contains_key(name));
-        self.buckets.retain(|name, _| kept.contains_key(name));
+        self.quotas = quotas;
+        let quotas = &self.quotas;
+        self.credits.retain(|name, _| quotas.contains_key(name));
+        self.buckets.retain(|name, _| quotas.contains_key(name));
         self.links.retain(|g, _| groups.contains(g));
         for group in groups {
             self.links.entry(group.clone()).or_default();
         }
     }
 
-    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, _fleet: FleetView, now: u64) {
+    fn update_fleet(&mut self, coordinators: &Map<Name, PeerProcess>, _fleet: FleetView, now: u64) {
         for (group, link) in &mut self.links {
-            let home = homes.get(group);
-            if link.home.as_ref() == home {
+            let coordinator = coordinators.get(group);
+            if link.coordinator.as_ref() == coordinator {
                 continue;
             }
-            link.home = home.cloned();
-            link.silent_until = 0;
-            link.calling = false;
-            let kept = &self.kept;
+            link.coordinator = coordinator.cloned();
+            link.backoff_until_ms = 0;
+            link.in_flight = false;
+            let quotas = &self.quotas;
             for (name, bucket) in &mut self.buckets {
-                if kept.get(name).is_some_and(|k| k.group == *group) {
+                if quotas.get(name).is_some_and(|q| q.group == *group) {
                     *bucket = Bucket::new(now);
                 }
             }
@@ -243,75 +243,89 @@
     fn record_demand(&mut self, _name: &str, _size: u64, _now: u64) {}
 
     fn try_reserve(&mut self, name: &str, size: u64, now: u64) -> ReserveOutcome {
-        let unknown = ReserveOutcome::UsageUnknown { retry_ms: FIND_MS };
+        let usage_unknown = ReserveOutcome::UsageUnknown {
+            retry_ms: DISCOVERY_MS,
+        };
         let size = size as f64;
-        let Some((name, kept)) = self.kept.get_key_value(name) else {
-            return unknown;
+        let Some((name, placed)) = self.quotas.get_key_value(name) else {
+            return usage_unknown;
         };
-        let (name, group) = (name.clone(), kept.group.clone());
-        if self.purses.entry(name.clone()).or_default().take(size, now) {
+        let (name, group) = (name.clone(), placed.group.clone());
+        if self
+            .credits
+            .entry(name.clone())
+            .or_default()
+            .try_take(size, now)
+        {
             return ReserveOutcome::Granted;
         }
-        if self.at_home(&group) {
+        if self.is_coordinator(&group) {
             return match self.grant(&name, size, size, now) {
                 (grant, _) if grant >= size => ReserveOutcome::Granted,
                 (_, retry_ms) => ReserveOutcome::OverQuota { retry_ms },
             };
         }
-        let (Some(link), Some(purse)) = (self.links.get_mut(&group), self.purses.get_mut(&name))
+        let (Some(link), Some(credit)) = (self.links.get_mut(&group), self.credits.get_mut(&name))
         else {
-            return unknown;
+            return usage_unknown;
         };
-        if now < purse.refused_until {
-            let retry_ms = purse.refused_until - now;
+        if now < credit.refused_until_ms {
+            let retry_ms = credit.refused_until_ms - now;
             return ReserveOutcome::OverQuota { retry_ms };
         }
-        if link.home.is_none() || now < link.silent_until {
-            return unknown;
+        if link.coordinator.is_none() || now < link.backoff_until_ms {
+            return usage_unknown;
         }
-        purse.lack(size);
+        credit.add_need(size);
         link.urgent = true;
         ReserveOutcome::Pending(link.serial + 1)
     }
 
     fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64 {
-        let (Some(kept), Some(link)) = (self.kept.get(name), self.link_of(name)) else {
-            return FIND_MS;
+        let (Some(placed), Some(link)) = (self.quotas.get(name), self.link_for(name)) else {
+            return DISCOVERY_MS;
         };
-        if link.home.as_ref() == Some(&self.me) {
-            let held = self.buckets.get(name);
-            let held = held.map_or(0.0, |b| b.at(&kept.quota, now));
-            let missing = (size as f64 - held).max(0.0);
-            return (missing / kept.quota.rate * 1_000.0).ceil() as u64;
+        if link.coordinator.as_ref() == Some(&self.local) {
+            let level = self.buckets.get(name);
+            let level = level.map_or(0.0, |b| b.level(&placed.quota, now));
+            let missing = (size as f64 - level).max(0.0);
+            return (missing / placed.quota.rate * 1_000.0).ceil() as u64;
         }
-        let purse = self.purses.get(name).copied().unwrap_or_default();
-        if purse.balance >= size as f64 && now < purse.until {
+        let credit = self.credits.get(name).copied().unwrap_or_default();
+        if credit.balance >= size as f64 && now < credit.expires_at_ms {
             return 0;
         }
-        let known = link.home.is_some();
-        let home_ms = if known { 0 } else { FIND_MS };
-        let silent_ms = link.silent_until.saturating_sub(now);
-        let refused_ms = purse.refused_until.saturating_sub(now);
+        let known = link.coordinator.is_some();
+        let home_ms = if known { 0 } else { DISCOVERY_MS };
+        let silent_ms = link.backoff_until_ms.saturating_sub(now);
+        let refused_ms = credit.refused_until_ms.saturating_sub(now);
         home_ms.max(silent_ms).max(refused_ms)
     }
 
     fn has_surplus(&self, name: &str, now: u64) -> bool {
-        let Some(kept) = self.kept.get(name).filter(|k| self.at_home(&k.group)) else {
+        let Some(placed) = self
+            .quotas
+            .get(name)
+            .filter(|k| self.is_coordinator(&k.group))
+        else {
             return false;
         };
-        let held = self.buckets.get(name).map(|b| b.at(&kept.quota, now));
-        held.is_some_and(|held| held >= most(&kept.quota))
+        let level = self.buckets.get(name).map(|b| b.level(&placed.quota, now));
+        level.is_some_and(|level| level >= capacity(&placed.quota))
     }
 
     fn mark_sent(&mut self, _name: &str, _size: u64) {}
 
     fn release_unsent(&mut self, name: &str, size: u64) {
-        let home = self.kept.get(name).is_some_and(|k| self.at_home(&k.group));
-        if let Some(bucket) = self.buckets.get_mut(name).filter(|_| home) {
+        let coordinator = self
+            .quotas
+            .get(name)
+            .is_some_and(|k| self.is_coordinator(&k.group));
+        if let Some(bucket) = self.buckets.get_mut(name).filter(|_| coordinator) {
             bucket.balance += size as f64;
-        } else if let Some(purse) = self.purses.get_mut(name) {
+        } else if let Some(credit) = self.credits.get_mut(name) {
             // Its time goes on: it was granted for a request of then.
-            purse.balance += size as f64;
+            credit.balance += size as f64;
         }
     }
 
@@ -321,33 +335,33 @@
 
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let due = self.links.iter().filter_map(|(group, link)| {
-            let home = link.home.as_ref().filter(|h| **h != self.me)?;
-            let asks = link.urgent && !link.busy(now) && now >= link.silent_until;
-            asks.then(|| (group.clone(), home.clone()))
+            let coordinator = link.coordinator.as_ref().filter(|h| **h != self.local)?;
+            let asks = link.urgent && !link.is_busy(now) && now >= link.backoff_until_ms;
+            asks.then(|| (group.clone(), coordinator.clone()))
         });
         due.collect()
     }
 
     fn settle_request(&mut self, group: &Name, _home: &PeerProcess, now: u64) -> SettleRequest {
-        let kept = &self.kept;
-        let here = |name: &Name| kept.get(name).is_some_and(|k| k.group == *group);
-        let waiting = self.purses.iter_mut();
-        let waiting = waiting.filter(|(name, purse)| purse.need > 0.0 && here(name));
-        let lines = waiting.map(|(name, purse)| UsageLine {
+        let quotas = &self.quotas;
+        let here = |name: &Name| quotas.get(name).is_some_and(|q| q.group == *group);
+        let waiting = self.credits.iter_mut();
+        let waiting = waiting.filter(|(name, credit)| credit.need > 0.0 && here(name));
+        let lines = waiting.map(|(name, credit)| UsageLine {
             workspace: name.to_string(),
-            need: std::mem::take(&mut purse.need),
-            min_need: purse.least,
+            need: std::mem::take(&mut credit.need),
+            min_need: credit.min_need,
             ..UsageLine::default()
         });
         let lines = lines.collect();
         let link = self.links.entry(group.clone()).or_default();
         link.serial += 1;
-        link.called = now;
-        link.calling = true;
+        link.called_at_ms = now;
+        link.in_flight = true;
         link.urgent = false;
         SettleRequest {
-            from: self.me.peer_addr.to_string(),
-            boot: self.me.boot,
+            from: self.local.peer_addr.to_string(),
+            boot: self.local.boot,
             serial: link.serial,
             group: group.to_string(),
             lines,
@@ -355,12 +369,12 @@
         }
     }
 
-    fn handle_settle(&mut self, call: &SettleRequest, _met: u64, now: u64) -> SettleReply {
-        let home = self.at_home(&call.group);
-        let lines = call.lines.iter().map(|line| {
-            let (grant, retry_ms) = match home {
+    fn handle_settle(&mut self, request: &SettleRequest, _met: u64, now: u64) -> SettleReply {
+        let coordinator = self.is_coordinator(&request.group);
+        let lines = request.lines.iter().map(|line| {
+            let (grant, retry_ms) = match coordinator {
                 true => self.grant(&line.workspace, line.need, line.min_need, now),
-                false => (0.0, FIND_MS),
+                false => (0.0, DISCOVERY_MS),
             };
             GrantLine {
                 workspace: line.workspace.clone(),
@@ -371,9 +385,9 @@
         });
         let lines = lines.collect();
         SettleReply {
-            boot: self.me.boot,
+            boot: self.local.boot,
             clock_ms: now,
-            lendable_share: f64::from(u8::from(home)),
+            lendable_share: f64::from(u8::from(coordinator)),
             lines,
         }
     }
@@ -381,60 +395,60 @@
     fn handle_reply(
         &mut self,
         group: &Name,
-        home: &PeerProcess,
+        coordinator: &PeerProcess,
         reply: Option<&SettleReply>,
         now: u64,
     ) {
         let Some(link) = self.links.get_mut(group) else {
             return;
         };
-        link.calling = false;
-        link.answered = link.serial;
-        let Some(reply) = reply.filter(|r| r.boot == home.boot) else {
-            link.silent_until = now + SILENT_MS;
+        link.in_flight = false;
+        link.last_answered = link.serial;
+        let Some(reply) = reply.filter(|r| r.boot == coordinator.boot) else {
+            link.backoff_until_ms = now + BACKOFF_MS;
             return;
         };
-        link.silent_until = 0;
-        for settled in &reply.lines {
-            let Some(purse) = self.purses.get_mut(settled.workspace.as_str()) else {
+        link.backoff_until_ms = 0;
+        for grant_line in &reply.lines {
+            let Some(credit) = self.credits.get_mut(grant_line.workspace.as_str()) else {
                 continue;
             };
-            if settled.grant > 0.0 {
-                purse.put(settled.grant, now);
+            if grant_line.grant > 0.0 {
+                credit.deposit(grant_line.grant, now);
             }
-            if settled.retry_ms > 0 {
-                purse.refused_until = now + settled.retry_ms;
+            if grant_line.retry_ms > 0 {
+                credit.refused_until_ms = now + grant_line.retry_ms;
             }
         }
     }
 
     fn last_answered(&self, group: &Name) -> u64 {
-        self.links.get(group).map_or(u64::MAX, |l| l.answered)
+        self.links.get(group).map_or(u64::MAX, |l| l.last_answered)
     }
 
-    fn process_ended(&mut self, home: &PeerProcess) {
+    fn process_ended(&mut self, coordinator: &PeerProcess) {
         for link in self.links.values_mut() {
-            if link.home.as_ref() == Some(home) {
-                link.home = None;
+            if link.coordinator.as_ref() == Some(coordinator) {
+                link.coordinator = None;
             }
         }
     }
 
     fn snapshot(&self, name: &str, now: u64) -> QuotaSnapshot {
-        let kept = self.kept.get(name);
-        let link = kept.and_then(|k| self.links.get(&k.group));
-        let purse = self.purses.get(name).copied().unwrap_or_default();
+        let placed = self.quotas.get(name);
+        let link = placed.and_then(|k| self.links.get(&k.group));
+        let credit = self.credits.get(name).copied().unwrap_or_default();
         QuotaSnapshot {
-            rate: kept.map_or(0.0, |k| k.quota.rate),
-            coordinator: link.and_then(|l| Some(l.home.as_ref()?.peer_addr.clone())),
-            lendable_share: f64::from(u8::from(link.is_some_and(|l| l.home.is_some()))),
-            age_ms: link.map_or(0, |l| now.saturating_sub(l.called)),
-            balance: purse.balance,
+            rate: placed.map_or(0.0, |q| q.quota.rate),
+            coordinator: link.and_then(|l| Some(l.coordinator.as_ref()?.peer_addr.clone())),
+            lendable_share: f64::from(u8::from(link.is_some_and(|l| l.coordinator.is_some()))),
+            age_ms: link.map_or(0, |l| now.saturating_sub(l.called_at_ms)),
+            balance: credit.balance,
             ..QuotaSnapshot::default()
         }
     }
 
     fn quota_group(&self, name: &str) -> Option<Name> {
-        self.kept.get(name).map(|k| k.group.clone())
+        self.quotas.get(name).map(|q| q.group.clone())
     }
 }
--- a/crates/comfreyhall-workspace/src/lending/ledger.rs
+++ b/crates/comfreyhall-workspace/src/lending/ledger.rs
@@ -8,51 +8,51 @@
 
 use comfreyhall_protocol::Map;
 
-use super::account::{Account, Minted, Terms};
+use super::account::{Account, AccruedTime, LendingTerms};
 use crate::{
     FleetView, GrantLine, Name, PeerProcess, Quota, SettleReply, SettleRequest, Tolerance,
 };
 
 /// How long a daemon must have been known before its part counts, in ms: those
 /// that are out of hearing still count on fewer members until then.
-pub(super) const SEASON_MS: u64 = 10_000;
+pub(super) const MIN_KNOWN_MS: u64 = 10_000;
 
 /// What a minority lends of its parts: as many new members as there were may
 /// have joined on the other side.
-const MINORITY_PART: f64 = 0.5;
+const MINORITY_FACTOR: f64 = 0.5;
 
 /// A home's part from which on it knows enough to say what all use.
-pub(super) const KNOWING_PART: f64 = 0.5;
+pub(super) const QUORUM_SHARE: f64 = 0.5;
 
 /// How long a home must know it before it lends more than the rate, in ms: the
 /// one before may have lent a burst within the window.
-const BONUS_AFTER_MS: u64 = 8_000;
+const BONUS_DELAY_MS: u64 = 8_000;
 
 /// How long what was lent to a daemon that is not heard of any more counts as
 /// unused, in ms: it may be cut off and have it still.
-const FORGET_MS: u64 = 60_000;
+const FORGET_AFTER_MS: u64 = 60_000;
 
 /// The part that a daemon gave.
 #[derive(Debug, Clone)]
-struct Share {
+struct DelegatedShare {
     boot: u64,
-    part: f64,
-    until: u64,
+    fraction: f64,
+    expires_at_ms: u64,
     serial: u64,
     /// Since when the daemon is known here.
-    met: u64,
+    known_since_ms: u64,
 }
 
 /// All accounts of one group.
 #[derive(Debug, Default)]
 pub(super) struct Ledger {
-    shares: Map<Name, Share>,
+    shares: Map<Name, DelegatedShare>,
     accounts: Map<Name, Account>,
-    minted: Minted,
-    part: f64,
+    accrued: AccruedTime,
+    lendable_share: f64,
     /// Since when it lends enough to know what all use; 0 if it does not.
-    knowing: u64,
-    at: u64,
+    quorum_since_ms: u64,
+    advanced_at_ms: u64,
 }
 
 impl Ledger {
@@ -62,67 +62,71 @@
     }
 
     /// Goes on to `now` with the shares that still hold.
-    pub(super) fn advance(&mut self, fleet: FleetView, age: u64, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
-        let before = self.part;
-        self.part = self.lendable(fleet, age, now);
+    pub(super) fn advance(&mut self, fleet: FleetView, uptime_ms: u64, now: u64) {
+        let elapsed_s = now.saturating_sub(self.advanced_at_ms) as f64 / 1_000.0;
+        let before = self.lendable_share;
+        self.lendable_share = self.compute_lendable_share(fleet, uptime_ms, now);
         self.forget(now);
-        self.knowing = match (self.part >= KNOWING_PART, self.knowing) {
+        self.quorum_since_ms = match (self.lendable_share >= QUORUM_SHARE, self.quorum_since_ms) {
             (false, _) => 0,
             (true, 0) => now,
-            (true, since) => since,
+            (true, since_ms) => since_ms,
         };
-        if self.at > 0 {
+        if self.advanced_at_ms > 0 {
             // Shares that lapsed meanwhile did so at some unknown moment.
-            let part = before.min(self.part);
-            self.minted.rate += part * passed;
-            if self.knowing > 0 && now.saturating_sub(self.knowing) >= BONUS_AFTER_MS {
-                self.minted.bonus += part * passed;
+            let part = before.min(self.lendable_share);
+            self.accrued.rate_s += part * elapsed_s;
+            if self.quorum_since_ms > 0
+                && now.saturating_sub(self.quorum_since_ms) >= BONUS_DELAY_MS
+            {
+                self.accrued.bonus_s += part * elapsed_s;
             }
         }
-        self.at = now;
+        self.advanced_at_ms = now;
     }
 
     fn forget(&mut self, now: u64) {
-        let gone = |s: &Share| now.saturating_sub(s.until) >= FORGET_MS;
-        if !self.shares.values().any(gone) {
+        let expired = |s: &DelegatedShare| now.saturating_sub(s.expires_at_ms) >= FORGET_AFTER_MS;
+        if !self.shares.values().any(expired) {
             return;
         }
-        self.shares.retain(|_, s| !gone(s));
+        self.shares.retain(|_, s| !expired(s));
         for account in self.accounts.values_mut() {
             account.retain(|from| self.shares.contains_key(from));
         }
     }
 
     /// Takes back the part that `from` gave.
-    pub(super) fn withdraw(&mut self, from: &str) {
+    pub(super) fn revoke_share(&mut self, from: &str) {
         if let Some(share) = self.shares.get_mut(from) {
-            share.until = 0;
+            share.expires_at_ms = 0;
         }
     }
 
-    fn lendable(&self, fleet: FleetView, age: u64, now: u64) -> f64 {
-        let holds = self.shares.values().filter(|s| now < s.until);
+    fn compute_lendable_share(&self, fleet: FleetView, uptime_ms: u64, now: u64) -> f64 {
+        let active = self.shares.values().filter(|s| now < s.expires_at_ms);
         let members = fleet.members.max(1);
-        let heard = holds.clone().count();
+        let active_count = active.clone().count();
         // All that are known are new to a home that has just started.
-        let known = |s: &&Share| age < SEASON_MS || now.saturating_sub(s.met) >= SEASON_MS;
-        let part: f64 = holds.filter(known).map(|s| s.part).sum();
-        let torn = heard * 2 < members || (fleet.stale && heard < members);
-        match torn {
+        let known = |s: &&DelegatedShare| {
+            uptime_ms < MIN_KNOWN_MS || now.saturating_sub(s.known_since_ms) >= MIN_KNOWN_MS
+        };
+        let part: f64 = active.filter(known).map(|s| s.fraction).sum();
+        let partitioned = active_count * 2 < members || (fleet.stale && active_count < members);
+        match partitioned {
             // How small a part is cannot be known yet.
             _ if !fleet.confirmed => 0.0,
-            true => part.min(1.0) * MINORITY_PART,
+            true => part.min(1.0) * MINORITY_FACTOR,
             false => part.min(1.0),
         }
     }
 
     /// Takes in the part that a daemon gives; false if a later call came before.
-    fn give(&mut self, call: &SettleRequest, met: u64, now: u64) -> bool {
-        let from: Name = call.from.as_str().into();
+    fn accept_share(&mut self, request: &SettleRequest, known_since_ms: u64, now: u64) -> bool {
+        let from: Name = request.from.as_str().into();
         let known = self.shares.get(&from);
-        let restarted = known.is_some_and(|s| s.boot != call.boot);
-        if known.is_some_and(|s| s.boot == call.boot && call.serial <= s.serial) {
+        let restarted = known.is_some_and(|s| s.boot != request.boot);
+        if known.is_some_and(|s| s.boot == request.boot && request.serial <= s.serial) {
             return false;
         }
         if restarted {
@@ -131,15 +135,15 @@
                 account.retain(|other| *other != from);
             }
         }
-        let share = Share {
-            boot: call.boot,
-            part: call.share.clamp(0.0, 1.0),
-            until: match call.share > 0.0 {
-                true => call.as_of.min(now) + call.term_ms,
+        let share = DelegatedShare {
+            boot: request.boot,
+            fraction: request.share.clamp(0.0, 1.0),
+            expires_at_ms: match request.share > 0.0 {
+                true => request.as_of.min(now) + request.term_ms,
                 false => now,
             },
-            serial: call.serial,
-            met,
+            serial: request.serial,
+            known_since_ms,
         };
         self.shares.insert(from, share);
         true
@@ -148,44 +152,44 @@
     /// Answers `call` with the caps that `cap_of` names.
     pub(super) fn answer<'a>(
         &mut self,
-        call: &SettleRequest,
-        me: &PeerProcess,
-        world: &World<'_>,
-        cap_of: impl Fn(&str) -> Option<&'a Quota>,
+        request: &SettleRequest,
+        local: &PeerProcess,
+        context: &LedgerContext<'_>,
+        quota_of: impl Fn(&str) -> Option<&'a Quota>,
     ) -> SettleReply {
-        let now = world.now;
-        let fresh = self.give(call, world.met, now);
-        self.advance(world.fleet, world.age, now);
-        let from: Name = call.from.as_str().into();
-        let lines = call.lines.iter().filter(|_| fresh).map(|line| {
-            let Some(cap) = cap_of(&line.workspace) else {
+        let now = context.now;
+        let in_order = self.accept_share(request, context.known_since_ms, now);
+        self.advance(context.fleet, context.uptime_ms, now);
+        let from: Name = request.from.as_str().into();
+        let lines = request.lines.iter().filter(|_| in_order).map(|line| {
+            let Some(quota) = quota_of(&line.workspace) else {
                 return GrantLine {
                     workspace: line.workspace.clone(),
                     ..GrantLine::default()
                 };
             };
-            let terms = Terms::of(cap, world.tolerance, self.part);
+            let terms = LendingTerms::of(quota, context.tolerance, self.lendable_share);
             let name = line.workspace.as_str().into();
             let account = self.accounts.entry(name).or_default();
-            account.settle(&from, line, &terms, self.minted, now)
+            account.settle(&from, line, &terms, self.accrued, now)
         });
         let lines = lines.collect();
         SettleReply {
-            boot: me.boot,
+            boot: local.boot,
             clock_ms: now,
-            lendable_share: self.part,
+            lendable_share: self.lendable_share,
             lines,
         }
     }
 }
 
 /// What a home knows besides its ledger.
-pub(super) struct World<'a> {
+pub(super) struct LedgerContext<'a> {
     pub(super) fleet: FleetView,
     pub(super) tolerance: &'a Tolerance,
     /// Ms since this daemon started.
-    pub(super) age: u64,
+    pub(super) uptime_ms: u64,
     /// Since when the daemon that calls is known.
-    pub(super) met: u64,
+    pub(super) known_since_ms: u64,
     pub(super) now: u64,
 }
--- a/crates/comfreyhall-workspace/src/lending/mod.rs
+++ b/crates/comfreyhall-workspace/src/lending/mod.rs
@@ -7,107 +7,107 @@
 //! home is its own, with nothing but its own part.
 
 mod account;
+mod credit;
 mod ledger;
-mod purse;
 
 use comfreyhall_protocol::Map;
 
 use self::{
-    ledger::{KNOWING_PART, Ledger, World},
-    purse::Purse,
+    credit::CreditBalance,
+    ledger::{Ledger, LedgerContext, QUORUM_SHARE},
 };
 use crate::{
     FleetView, Name, PeerProcess, QuotaSnapshot, RateLimiter, ReserveOutcome, SettleReply,
-    SettleRequest, Tolerance, UsageLine, meter::PlacedQuota,
+    SettleRequest, Tolerance, UsageLine, limiter::PlacedQuota,
 };
 
 /// How long a part given to a home stays there, in ms. Within it two renewals
 /// may be lost; after it another home may have the part.
-const TERM_MS: u64 = 1_500;
+const SHARE_TERM_MS: u64 = 1_500;
 
 /// Pause between two calls to a home that nothing calls for, in ms.
-const RENEW_MS: u64 = 400;
+const RENEW_INTERVAL_MS: u64 = 400;
 
 /// Least pause between calls that only borrow ahead, in ms.
-const AHEAD_MS: u64 = 120;
+const PREFETCH_INTERVAL_MS: u64 = 120;
 
 /// Longest that a call may be on its way, in ms.
-const CALL_MS: u64 = 400;
+const CALL_TIMEOUT_MS: u64 = 400;
 
 /// How long a home that did not answer is not asked by requests, in ms.
-const SILENT_MS: u64 = 300;
+const BACKOFF_MS: u64 = 300;
 
 /// To whom this daemon's part is given.
 #[derive(Debug, Clone)]
 struct ShareAssignment {
-    home: PeerProcess,
-    until: u64,
+    coordinator: PeerProcess,
+    expires_at_ms: u64,
 }
 
 /// One group, as a borrower sees it.
 #[derive(Debug, Default)]
-struct Link {
-    home: Option<PeerProcess>,
-    given: Option<ShareAssignment>,
+struct CoordinatorLink {
+    coordinator: Option<PeerProcess>,
+    assigned: Option<ShareAssignment>,
     /// The home's clock as it last told it.
-    echo: Option<(PeerProcess, u64)>,
+    last_clock: Option<(PeerProcess, u64)>,
     serial: u64,
     /// The last call that was answered or given up.
-    answered: u64,
+    last_answered: u64,
     /// When it was last called; 0 for never.
-    called: u64,
-    calling: bool,
+    called_at_ms: u64,
+    in_flight: bool,
     /// Whether requests wait for an answer.
     urgent: bool,
-    silent_until: u64,
+    backoff_until_ms: u64,
     /// Part of the caps that the home lends, and when it said so.
-    part: f64,
-    told: u64,
+    lendable_share: f64,
+    updated_at_ms: u64,
 }
 
-impl Link {
+impl CoordinatorLink {
     /// Whether this daemon's part may be given to `home`.
-    fn free_for(&self, home: &PeerProcess, now: u64) -> bool {
-        let given = self.given.as_ref();
-        given.is_none_or(|g| g.home == *home || now >= g.until)
+    fn may_assign_to(&self, coordinator: &PeerProcess, now: u64) -> bool {
+        let assigned = self.assigned.as_ref();
+        assigned.is_none_or(|g| g.coordinator == *coordinator || now >= g.expires_at_ms)
     }
 
-    fn give(&mut self, home: &PeerProcess, now: u64) {
-        self.given = Some(ShareAssignment {
-            home: home.clone(),
-            until: now + TERM_MS,
+    fn assign_to(&mut self, coordinator: &PeerProcess, now: u64) {
+        self.assigned = Some(ShareAssignment {
+            coordinator: coordinator.clone(),
+            expires_at_ms: now + SHARE_TERM_MS,
         });
     }
 
-    fn busy(&self, now: u64) -> bool {
-        self.calling && now.saturating_sub(self.called) < CALL_MS
+    fn is_busy(&self, now: u64) -> bool {
+        self.in_flight && now.saturating_sub(self.called_at_ms) < CALL_TIMEOUT_MS
     }
 }
 
 /// Caps by lending.
 pub struct LendingLimiter {
-    me: PeerProcess,
+    local: PeerProcess,
     tolerance: Tolerance,
-    began: u64,
+    started_at_ms: u64,
     fleet: FleetView,
-    kept: Map<Name, PlacedQuota>,
-    links: Map<Name, Link>,
+    quotas: Map<Name, PlacedQuota>,
+    links: Map<Name, CoordinatorLink>,
     ledgers: Map<Name, Ledger>,
-    purses: Map<Name, Purse>,
+    credits: Map<Name, CreditBalance>,
 }
 
 impl LendingLimiter {
     /// Nothing is known yet.
-    pub fn new(me: PeerProcess, tolerance: Tolerance, now: u64) -> Self {
+    pub fn new(local: PeerProcess, tolerance: Tolerance, now: u64) -> Self {
         Self {
-            me,
+            local,
             tolerance,
-            began: now,
+            started_at_ms: now,
             fleet: FleetView::default(),
-            kept: Map::default(),
+            quotas: Map::default(),
             links: Map::default(),
             ledgers: Map::default(),
-            purses: Map::default(),
+            credits: Map::default(),
         }
     }
 
@@ -121,81 +121,102 @@
 
     /// Settles `lines` with the own ledger of `group`, and gives it the own part,
     /// if this daemon is the home.
-    fn settle_own(&mut self, group: &Name, lines: Vec<UsageLine>, now: u64) {
+    fn settle_locally(&mut self, group: &Name, lines: Vec<UsageLine>, now: u64) {
         let share = self.share();
         let Some(link) = self.links.get_mut(group) else {
             return;
         };
-        if link.home.as_ref() != Some(&self.me) {
+        if link.coordinator.as_ref() != Some(&self.local) {
             return;
         }
-        let gives = link.free_for(&self.me, now);
-        if gives {
-            link.give(&self.me, now);
+        let assigns = link.may_assign_to(&self.local, now);
+        if assigns {
+            link.assign_to(&self.local, now);
         }
         link.serial += 1;
-        let call = SettleRequest {
-            from: self.me.peer_addr.to_string(),
-            boot: self.me.boot,
+        let request = SettleRequest {
+            from: self.local.peer_addr.to_string(),
+            boot: self.local.boot,
             serial: link.serial,
             group: group.to_string(),
-            share: if gives { share } else { 0.0 },
+            share: if assigns { share } else { 0.0 },
             as_of: now,
-            term_ms: TERM_MS,
+            term_ms: SHARE_TERM_MS,
             lines,
         };
-        let reply = self.answer_by_ledger(&call, self.began, now);
-        self.take_in(group, &reply, now);
+        let reply = self.settle_with_ledger(&request, self.started_at_ms, now);
+        self.apply_reply(group, &reply, now);
     }
 
-    fn answer_by_ledger(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply {
-        let ledger = self.ledgers.entry(call.group.as_str().into()).or_default();
-        let world = World {
+    fn settle_with_ledger(
+        &mut self,
+        request: &SettleRequest,
+        known_since_ms: u64,
+        now: u64,
+    ) -> SettleReply {
+        let ledger = self
+            .ledgers
+            .entry(request.group.as_str().into())
+            .or_default();
+        let context = LedgerContext {
             fleet: self.fleet,
             tolerance: &self.tolerance,
-            age: now.saturating_sub(self.began),
-            met,
+            uptime_ms: now.saturating_sub(self.started_at_ms),
+            known_since_ms,
             now,
         };
-        let kept = &self.kept;
-        ledger.answer(call, &self.me, &world, |w| kept.get(w).map(|k| &k.quota))
+        let quotas = &self.quotas;
+        ledger.answer(request, &self.local, &context, |w| {
+            quotas.get(w).map(|k| &k.quota)
+        })
     }
 
-    fn take_in(&mut self, group: &Name, reply: &SettleReply, now: u64) {
+    fn apply_reply(&mut self, group: &Name, reply: &SettleReply, now: u64) {
         if let Some(link) = self.links.get_mut(group) {
-            link.part = reply.lendable_share;
-            link.told = now;
+            link.lendable_share = reply.lendable_share;
+            link.updated_at_ms = now;
         }
-        for settled in &reply.lines {
-            if let Some(purse) = self.purses.get_mut(settled.workspace.as_str()) {
-                purse.heard(settled, now);
+        for grant_line in &reply.lines {
+            if let Some(credit) = self.credits.get_mut(grant_line.workspace.as_str()) {
+                credit.apply_grant(grant_line, now);
             }
         }
     }
 
     /// Takes credit where this daemon is the home itself.
-    fn take_own(&mut self, workspace: &str, group: &Name, size: f64, now: u64) -> ReserveOutcome {
-        let line = self.purses.get_mut(workspace).map(|purse| {
-            purse.lack(size);
-            purse.tell(workspace, now)
+    fn reserve_locally(
+        &mut self,
+        workspace: &str,
+        group: &Name,
+        size: f64,
+        now: u64,
+    ) -> ReserveOutcome {
+        let line = self.credits.get_mut(workspace).map(|credit| {
+            credit.add_need(size);
+            credit.report(workspace, now)
         });
-        self.settle_own(group, line.into_iter().collect(), now);
-        let (Some(link), Some(purse)) = (self.links.get(group), self.purses.get_mut(workspace))
+        self.settle_locally(group, line.into_iter().collect(), now);
+        let (Some(link), Some(credit)) = (self.links.get(group), self.credits.get_mut(workspace))
         else {
-            return ReserveOutcome::UsageUnknown { retry_ms: RENEW_MS };
+            return ReserveOutcome::UsageUnknown {
+                retry_ms: RENEW_INTERVAL_MS,
+            };
         };
-        match purse.reserve(size) {
+        match credit.reserve(size) {
             true => ReserveOutcome::Granted,
-            false => refusal(link, purse, now),
+            false => refuse(link, credit, now),
         }
     }
 
-    fn lines(&mut self, group: &Name, now: u64) -> Vec<UsageLine> {
+    fn usage_lines(&mut self, group: &Name, now: u64) -> Vec<UsageLine> {
         let mut lines = Vec::new();
-        for (workspace, purse) in &mut self.purses {
-            let here = self.kept.get(workspace).is_some_and(|k| k.group == *group);
-            if here && !purse.idle(now) {
-                lines.push(purse.tell(workspace, now));
+        for (workspace, credit) in &mut self.credits {
+            let in_group = self
+                .quotas
+                .get(workspace)
+                .is_some_and(|q| q.group == *group);
+            if in_group && !credit.is_idle(now) {
+                lines.push(credit.report(workspace, now));
             }
         }
         lines
@@ -203,26 +224,26 @@
 }
 
 /// What a request that finds no credit is told, if there is nobody to ask.
-fn refusal(link: &Link, purse: &Purse, now: u64) -> ReserveOutcome {
-    let retry_ms = purse.refused(now).unwrap_or(0);
-    if link.part >= KNOWING_PART {
+fn refuse(link: &CoordinatorLink, credit: &CreditBalance, now: u64) -> ReserveOutcome {
+    let retry_ms = credit.retry_after_ms(now).unwrap_or(0);
+    if link.lendable_share >= QUORUM_SHARE {
         return ReserveOutcome::OverQuota { retry_ms };
     }
-    let lapse = link.given.as_ref().map_or(0, |g| g.until);
+    let expires_at_ms = link.assigned.as_ref().map_or(0, |g| g.expires_at_ms);
     ReserveOutcome::UsageUnknown {
-        retry_ms: retry_ms.max(lapse.saturating_sub(now)),
+        retry_ms: retry_ms.max(expires_at_ms.saturating_sub(now)),
     }
 }
 
 impl RateLimiter for LendingLimiter {
-    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
-        self.kept = kept;
-        let kept = &self.kept;
-        self.purses.retain(|w, _| kept.contains_key(w));
+    fn set_quotas(&mut self, quotas: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
+        self.quotas = quotas;
+        let quotas = &self.quotas;
+        self.credits.retain(|w, _| quotas.contains_key(w));
         for (group, ledger) in &mut self.ledgers {
-            let age = now.saturating_sub(self.began);
-            ledger.advance(self.fleet, age, now);
-            ledger.retain(|w| kept.get(w).is_some_and(|k| k.group == *group));
+            let uptime_ms = now.saturating_sub(self.started_at_ms);
+            ledger.advance(self.fleet, uptime_ms, now);
+            ledger.retain(|w| quotas.get(w).is_some_and(|q| q.group == *group));
         }
         self.links.retain(|g, _| groups.contains(g));
         for group in groups {
@@ -230,70 +251,75 @@
         }
     }
 
-    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, fleet: FleetView, now: u64) {
+    fn update_fleet(&mut self, coordinators: &Map<Name, PeerProcess>, fleet: FleetView, now: u64) {
         self.fleet = fleet;
         let groups: Vec<Name> = self.links.keys().cloned().collect();
         for group in groups {
-            let home = homes.get(&group).unwrap_or(&self.me).clone();
+            let coordinator = coordinators.get(&group).unwrap_or(&self.local).clone();
             if let Some(link) = self.links.get_mut(&group)
-                && link.home.as_ref() != Some(&home)
+                && link.coordinator.as_ref() != Some(&coordinator)
             {
-                link.home = Some(home.clone());
-                link.silent_until = 0;
-                link.part = 0.0;
-                let own = link.given.as_ref().is_some_and(|g| g.home == self.me);
-                if own && home != self.me {
+                link.coordinator = Some(coordinator.clone());
+                link.backoff_until_ms = 0;
+                link.lendable_share = 0.0;
+                let was_local = link
+                    .assigned
+                    .as_ref()
+                    .is_some_and(|g| g.coordinator == self.local);
+                if was_local && coordinator != self.local {
                     // The own ledger forgets it at once, so another may have it.
-                    link.given = None;
+                    link.assigned = None;
                     if let Some(ledger) = self.ledgers.get_mut(&group) {
-                        ledger.withdraw(&self.me.peer_addr);
+                        ledger.revoke_share(&self.local.peer_addr);
                     }
                 }
             }
-            self.settle_own(&group, Vec::new(), now);
+            self.settle_locally(&group, Vec::new(), now);
         }
     }
 
     fn record_demand(&mut self, workspace: &str, size: u64, now: u64) {
-        if let Some((name, _)) = self.kept.get_key_value(workspace) {
-            let purse = self.purses.entry(name.clone()).or_default();
-            purse.ask(size as f64, now);
+        if let Some((name, _)) = self.quotas.get_key_value(workspace) {
+            let credit = self.credits.entry(name.clone()).or_default();
+            credit.record_demand(size as f64, now);
         }
     }
 
     fn try_reserve(&mut self, workspace: &str, size: u64, now: u64) -> ReserveOutcome {
-        let unknown = ReserveOutcome::UsageUnknown { retry_ms: RENEW_MS };
+        let usage_unknown = ReserveOutcome::UsageUnknown {
+            retry_ms: RENEW_INTERVAL_MS,
+        };
         let size = size as f64;
-        let Some(group) = self.kept.get(workspace).map(|k| k.group.clone()) else {
-            return unknown;
+        let Some(group) = self.quotas.get(workspace).map(|q| q.group.clone()) else {
+            return usage_unknown;
         };
-        let Some(purse) = self.purses.get_mut(workspace) else {
-            return unknown;
+        let Some(credit) = self.credits.get_mut(workspace) else {
+            return usage_unknown;
         };
-        if purse.reserve(size) {
+        if credit.reserve(size) {
             return ReserveOutcome::Granted;
         }
         let link = self.links.get(&group);
-        if link.is_some_and(|l| l.home.as_ref() == Some(&self.me)) {
-            return self.take_own(workspace, &group, size, now);
+        if link.is_some_and(|l| l.coordinator.as_ref() == Some(&self.local)) {
+            return self.reserve_locally(workspace, &group, size, now);
         }
-        let (Some(link), Some(purse)) =
-            (self.links.get_mut(&group), self.purses.get_mut(workspace))
+        let (Some(link), Some(credit)) =
+            (self.links.get_mut(&group), self.credits.get_mut(workspace))
         else {
-            return unknown;
+            return usage_unknown;
         };
-        if purse.refused(now).is_some() || now < link.silent_until {
-            return refusal(link, purse, now);
+        if credit.retry_after_ms(now).is_some() || now < link.backoff_until_ms {
+            return refuse(link, credit, now);
         }
-        purse.lack(size);
+        credit.add_need(size);
         link.urgent = true;
         ReserveOutcome::Pending(link.serial + 1)
     }
 
     fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64 {
-        let purse = self.purses.get(name);
-        let refused = purse.filter(|p| p.held() < size as f64);
-        refused.and_then(|p| p.refused(now)).unwrap_or(0)
+        let credit = self.credits.get(name);
+        let low = credit.filter(|p| p.balance() < size as f64);
+        low.and_then(|p| p.retry_after_ms(now)).unwrap_or(0)
     }
 
     fn has_surplus(&self, _name: &str, _now: u64) -> bool {
@@ -301,146 +327,174 @@
     }
 
     fn mark_sent(&mut self, workspace: &str, size: u64) {
-        if let Some(purse) = self.purses.get_mut(workspace) {
-            purse.sent(size as f64);
+        if let Some(credit) = self.credits.get_mut(workspace) {
+            credit.mark_sent(size as f64);
         }
     }
 
     fn release_unsent(&mut self, workspace: &str, size: u64) {
-        if let Some(purse) = self.purses.get_mut(workspace) {
-            purse.unsent(size as f64);
+        if let Some(credit) = self.credits.get_mut(workspace) {
+            credit.release_unsent(size as f64);
         }
     }
 
     fn refund(&mut self, workspace: &str, size: u64) {
-        if let Some(purse) = self.purses.get_mut(workspace) {
-            purse.not_run(size as f64);
+        if let Some(credit) = self.credits.get_mut(workspace) {
+            credit.refund(size as f64);
         }
     }
 
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let mut due = Vec::new();
         for (group, link) in &self.links {
-            if link.busy(now) {
+            if link.is_busy(now) {
                 continue;
             }
             // The part is asked back from an earlier home, which may live on.
-            if let Some(given) = link.given.as_ref().filter(|g| {
-                now < g.until && g.home != self.me && link.home.as_ref() != Some(&g.home)
+            if let Some(assigned) = link.assigned.as_ref().filter(|g| {
+                now < g.expires_at_ms
+                    && g.coordinator != self.local
+                    && link.coordinator.as_ref() != Some(&g.coordinator)
             }) {
-                due.push((group.clone(), given.home.clone()));
+                due.push((group.clone(), assigned.coordinator.clone()));
                 continue;
             }
-            let Some(home) = link.home.as_ref().filter(|h| **h != self.me) else {
+            let Some(coordinator) = link.coordinator.as_ref().filter(|h| **h != self.local) else {
                 continue;
             };
-            let since = now.saturating_sub(link.called);
-            let here = |w: &Name| self.kept.get(w).is_some_and(|k| k.group == *group);
-            let low = || self.purses.iter().any(|(w, p)| p.low(now) && here(w));
-            let asks = link.urgent && now >= link.silent_until;
-            if asks || since >= RENEW_MS || (since >= AHEAD_MS && low()) {
-                due.push((group.clone(), home.clone()));
+            let elapsed_ms = now.saturating_sub(link.called_at_ms);
+            let in_group = |w: &Name| self.quotas.get(w).is_some_and(|q| q.group == *group);
+            let low = || {
+                self.credits
+                    .iter()
+                    .any(|(w, p)| p.is_low(now) && in_group(w))
+            };
+            let needs_credit = link.urgent && now >= link.backoff_until_ms;
+            if needs_credit
+                || elapsed_ms >= RENEW_INTERVAL_MS
+                || (elapsed_ms >= PREFETCH_INTERVAL_MS && low())
+            {
+                due.push((group.clone(), coordinator.clone()));
             }
         }
         due
     }
 
-    fn settle_request(&mut self, group: &Name, home: &PeerProcess, now: u64) -> SettleRequest {
+    fn settle_request(
+        &mut self,
+        group: &Name,
+        coordinator: &PeerProcess,
+        now: u64,
+    ) -> SettleRequest {
         let share = self.share();
-        let current = self.links.get(group).and_then(|l| l.home.clone());
-        let lines = match current.as_ref() == Some(home) {
-            true => self.lines(group, now),
+        let current = self.links.get(group).and_then(|l| l.coordinator.clone());
+        let lines = match current.as_ref() == Some(coordinator) {
+            true => self.usage_lines(group, now),
             false => Vec::new(),
         };
         let link = self.links.entry(group.clone()).or_default();
         link.serial += 1;
-        link.called = now;
-        link.calling = true;
+        link.called_at_ms = now;
+        link.in_flight = true;
         link.urgent = false;
-        let echo = link.echo.as_ref().filter(|(from, _)| from == home);
-        let echo = echo.map(|(_, clock)| *clock);
-        let gives = current.as_ref() == Some(home) && echo.is_some() && link.free_for(home, now);
-        if gives {
-            link.give(home, now);
+        let last_clock = link
+            .last_clock
+            .as_ref()
+            .filter(|(from, _)| from == coordinator);
+        let last_clock = last_clock.map(|(_, clock)| *clock);
+        let assigns = current.as_ref() == Some(coordinator)
+            && last_clock.is_some()
+            && link.may_assign_to(coordinator, now);
+        if assigns {
+            link.assign_to(coordinator, now);
         }
         SettleRequest {
-            from: self.me.peer_addr.to_string(),
-            boot: self.me.boot,
+            from: self.local.peer_addr.to_string(),
+            boot: self.local.boot,
             serial: link.serial,
             group: group.to_string(),
-            share: if gives { share } else { 0.0 },
-            as_of: echo.unwrap_or(0),
-            term_ms: TERM_MS,
+            share: if assigns { share } else { 0.0 },
+            as_of: last_clock.unwrap_or(0),
+            term_ms: SHARE_TERM_MS,
             lines,
         }
     }
 
-    fn handle_settle(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply {
-        self.settle_own(&call.group.as_str().into(), Vec::new(), now);
-        self.answer_by_ledger(call, met, now)
+    fn handle_settle(
+        &mut self,
+        request: &SettleRequest,
+        known_since_ms: u64,
+        now: u64,
+    ) -> SettleReply {
+        self.settle_locally(&request.group.as_str().into(), Vec::new(), now);
+        self.settle_with_ledger(request, known_since_ms, now)
     }
 
     fn handle_reply(
         &mut self,
         group: &Name,
-        home: &PeerProcess,
+        coordinator: &PeerProcess,
         reply: Option<&SettleReply>,
         now: u64,
     ) {
         let Some(link) = self.links.get_mut(group) else {
             return;
         };
-        link.calling = false;
-        link.answered = link.serial;
+        link.in_flight = false;
+        link.last_answered = link.serial;
         let Some(reply) = reply else {
-            link.silent_until = now + SILENT_MS;
+            link.backoff_until_ms = now + BACKOFF_MS;
             return;
         };
-        if reply.boot != home.boot {
+        if reply.boot != coordinator.boot {
             // Another process answers there: the one that was meant has ended.
-            let home = home.clone();
-            self.process_ended(&home);
+            let coordinator = coordinator.clone();
+            self.process_ended(&coordinator);
             return;
         }
-        link.silent_until = 0;
-        if link.home.as_ref() != Some(home) {
+        link.backoff_until_ms = 0;
+        if link.coordinator.as_ref() != Some(coordinator) {
             // It no longer lends on this daemon's behalf.
-            link.given = None;
+            link.assigned = None;
             return;
         }
-        link.echo = Some((home.clone(), reply.clock_ms));
-        self.take_in(group, reply, now);
+        link.last_clock = Some((coordinator.clone(), reply.clock_ms));
+        self.apply_reply(group, reply, now);
     }
 
     fn last_answered(&self, group: &Name) -> u64 {
-        self.links.get(group).map_or(u64::MAX, |l| l.answered)
+        self.links.get(group).map_or(u64::MAX, |l| l.last_answered)
     }
 
-    fn process_ended(&mut self, home: &PeerProcess) {
+    fn process_ended(&mut self, coordinator: &PeerProcess) {
         for link in self.links.values_mut() {
-            if link.given.as_ref().is_some_and(|g| g.home == *home) {
-                link.given = None;
+            if link
+                .assigned
+                .as_ref()
+                .is_some_and(|g| g.coordinator == *coordinator)
+            {
+                link.assigned = None;
             }
         }
     }
 
     fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot {
-        let kept = self.kept.get(workspace);
-        let purse = self.purses.get(workspace);
-        let link = kept.and_then(|k| self.links.get(&k.group));
+        let placed = self.quotas.get(workspace);
+        let credit = self.credits.get(workspace);
+        let link = placed.and_then(|k| self.links.get(&k.group));
         QuotaSnapshot {
-            rate: kept.map_or(0.0, |k| k.quota.rate),
-            coordinator: link.and_then(|l| Some(l.home.as_ref()?.peer_addr.clone())),
-            lendable_share: link.map_or(0.0, |l| l.part),
-            lent: purse.map_or(0.0, Purse::lent),
-            age_ms: link.map_or(0, |l| now.saturating_sub(l.told)),
-            balance: purse.map_or(0.0, Purse::held),
-            demand: purse.map_or(0.0, |p| p.rate(now)),
+            rate: placed.map_or(0.0, |q| q.quota.rate),
+            coordinator: link.and_then(|l| Some(l.coordinator.as_ref()?.peer_addr.clone())),
+            lendable_share: link.map_or(0.0, |l| l.lendable_share),
+            lent: credit.map_or(0.0, CreditBalance::lent),
+            age_ms: link.map_or(0, |l| now.saturating_sub(l.updated_at_ms)),
+            balance: credit.map_or(0.0, CreditBalance::balance),
+            demand: credit.map_or(0.0, |p| p.demand_rate(now)),
         }
     }
 
     fn quota_group(&self, workspace: &str) -> Option<Name> {
-        self.kept.get(workspace).map(|k| k.group.clone())
+        self.quotas.get(workspace).map(|q| q.group.clone())
     }
 }
 
--- a/crates/comfreyhall-workspace/src/lending/tests.rs
+++ b/crates/comfreyhall-workspace/src/lending/tests.rs
@@ -56,7 +56,7 @@
 
 fn settle(borrower: &mut LendingLimiter, lender: &mut LendingLimiter, now: u64) -> SettleReply {
     let group: Name = "g".into();
-    let to = lender.me.clone();
+    let to = lender.local.clone();
     let call = borrower.settle_request(&group, &to, now);
     let reply = lender.handle_settle(&call, 1, now);
     borrower.handle_reply(&group, &to, Some(&reply), now);
@@ -129,7 +129,7 @@
     settle(&mut borrower, &mut other, now + 10);
     let early = borrower.settle_request(&group, &home(3), now + 20);
     assert_eq!(early.share, 0.0);
-    let late = borrower.settle_request(&group, &home(3), now + TERM_MS);
+    let late = borrower.settle_request(&group, &home(3), now + SHARE_TERM_MS);
     assert_eq!(late.share, 0.5);
 }
 
@@ -151,7 +151,7 @@
 fn answer_share_counts_from_home_s_own_clock() {
     let (mut borrower, mut lender, now) = pair();
     let call = borrower.settle_request(&"g".into(), &home(1), now);
-    let reply = lender.handle_settle(&call, 1, now + TERM_MS);
+    let reply = lender.handle_settle(&call, 1, now + SHARE_TERM_MS);
     // Its own part alone.
     assert_eq!(reply.lendable_share, 0.5);
 }
--- a/crates/comfreyhall-workspace/src/lib.rs
+++ b/crates/comfreyhall-workspace/src/lib.rs
@@ -9,25 +9,25 @@
 //! Everything here takes the time as an argument, in ms of a steady clock that
 //! counts suspended time, and touches no network.
 
-mod cap;
+mod demand;
 mod entry;
 mod granting;
 pub mod key;
 mod lending;
-mod meter;
-mod pace;
+mod limiter;
+mod quota;
 mod sharing;
 mod workspace;
 
-pub use cap::{Quota, QuotaUnit, Tolerance};
 pub use entry::{EntryProblem, RawNumber, RawUnit, WorkspaceEntry, read_entries};
 pub use granting::GrantingLimiter;
 pub use key::{KeyHash, KeyHasher, PresentedKey, Salt};
 pub use lending::LendingLimiter;
-pub use meter::{
+pub use limiter::{
     FleetView, GrantLine, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter, ReserveOutcome,
     SettleReply, SettleRequest, UsageLine, coordinator_group,
 };
+pub use quota::{Quota, QuotaUnit, Tolerance};
 pub use sharing::SharingLimiter;
 pub use workspace::{Allowance, Workspace, Workspaces};
 
--- a/crates/comfreyhall-workspace/src/meter.rs
+++ b/crates/comfreyhall-workspace/src/limiter.rs
@@ -150,11 +150,11 @@
     }
 
     /// Takes over the caps to keep, by name, and all groups.
-    fn set_quotas(&mut self, kept: Map<Name, PlacedQuota>, groups: &[Name], now: u64);
+    fn set_quotas(&mut self, quotas: Map<Name, PlacedQuota>, groups: &[Name], now: u64);
 
     /// Takes over who is the home of each group, this daemon among them, and
     /// the fleet.
-    fn update_fleet(&mut self, homes: &Map<Name, PeerProcess>, fleet: FleetView, now: u64);
+    fn update_fleet(&mut self, coordinators: &Map<Name, PeerProcess>, fleet: FleetView, now: u64);
 
     /// A request of `size` units comes for `workspace`.
     fn record_demand(&mut self, workspace: &str, size: u64, now: u64);
@@ -181,16 +181,26 @@
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)>;
 
     /// What to tell `home` of `group`.
-    fn settle_request(&mut self, group: &Name, home: &PeerProcess, now: u64) -> SettleRequest;
+    fn settle_request(
+        &mut self,
+        group: &Name,
+        coordinator: &PeerProcess,
+        now: u64,
+    ) -> SettleRequest;
 
     /// Answers a daemon, as a home; `met`: since when its address is known here.
-    fn handle_settle(&mut self, call: &SettleRequest, met: u64, now: u64) -> SettleReply;
+    fn handle_settle(
+        &mut self,
+        request: &SettleRequest,
+        known_since_ms: u64,
+        now: u64,
+    ) -> SettleReply;
 
     /// Takes in what `home` answered; `None` if it did not.
     fn handle_reply(
         &mut self,
         group: &Name,
-        home: &PeerProcess,
+        coordinator: &PeerProcess,
         reply: Option<&SettleReply>,
         now: u64,
     );
@@ -199,7 +209,7 @@
     fn last_answered(&self, group: &Name) -> u64;
 
     /// The process `home` has ended.
-    fn process_ended(&mut self, home: &PeerProcess);
+    fn process_ended(&mut self, coordinator: &PeerProcess);
 
     /// What a refusal of `workspace` rests on.
     fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot;
@@ -235,9 +245,9 @@
 /// The capped workspaces of `workspaces`, spread over `groups`.
 pub(crate) fn place_quotas(workspaces: &Workspaces, groups: &[Name]) -> Map<Name, PlacedQuota> {
     let capped = workspaces.all().iter().filter_map(|w| match w.allowance {
-        crate::Allowance::Limited(cap) => {
+        crate::Allowance::Limited(quota) => {
             let group = coordinator_group(&w.name, groups)?.clone();
-            Some((w.name.clone(), PlacedQuota { quota: cap, group }))
+            Some((w.name.clone(), PlacedQuota { quota, group }))
         }
         _ => None,
     });
--- a/crates/comfreyhall-workspace/src/cap.rs
+++ b/crates/comfreyhall-workspace/src/quota.rs
@@ -31,10 +31,10 @@
             (QuotaUnit::Tokens { .. }, Some(tokens)) => tokens,
             (
                 QuotaUnit::Tokens {
-                    default_tokens: plain,
+                    default_tokens: default,
                 },
                 None,
-            ) => plain,
+            ) => default,
         }
     }
 }
@@ -53,12 +53,12 @@
 
 impl Tolerance {
     /// Units above `cap` in a window.
-    pub fn tolerated_excess(&self, cap: &Quota) -> f64 {
-        self.overshoot * self.allowed(cap) + self.slack
+    pub fn tolerated_excess(&self, quota: &Quota) -> f64 {
+        self.overshoot * self.allowed(quota) + self.slack
     }
 
     /// Units that `cap` itself allows in a window.
-    pub fn allowed(&self, cap: &Quota) -> f64 {
-        cap.rate * self.window_ms as f64 / 1_000.0 + cap.burst
+    pub fn allowed(&self, quota: &Quota) -> f64 {
+        quota.rate * self.window_ms as f64 / 1_000.0 + quota.burst
     }
 }
--- a/crates/comfreyhall-workspace/src/tests.rs
+++ b/crates/comfreyhall-workspace/src/tests.rs
@@ -138,12 +138,12 @@
         ..entry("a", &["k2"])
     };
     let (found, problems) = read_entries(hasher(), vec![entry("a", &["k1"]), low]);
-    let cap = Quota {
+    let quota = Quota {
         unit: QuotaUnit::Requests,
         rate: 2.0,
         burst: 5.0,
     };
-    assert_eq!(allowance(&found, "a"), Allowance::Limited(cap));
+    assert_eq!(allowance(&found, "a"), Allowance::Limited(quota));
     assert_eq!(owner(&found, "k1"), owner(&found, "k2"));
     assert_eq!(problems, [EntryProblem::DuplicateName("a".into())]);
 }
@@ -247,8 +247,8 @@
             prop_assert_eq!(found.as_deref(), expected);
         }
         for workspace in found.all() {
-            if let Allowance::Limited(cap) = workspace.allowance {
-                prop_assert!(cap.rate > 0.0 && cap.rate.is_finite() && cap.burst >= 0.0);
+            if let Allowance::Limited(quota) = workspace.allowance {
+                prop_assert!(quota.rate > 0.0 && quota.rate.is_finite() && quota.burst >= 0.0);
             }
         }
     }
