--- a/crates/comfreyhall-workspace/src/demand.rs
+++ b/crates/comfreyhall-workspace/src/demand.rs
@@ -1,10 +1,10 @@
-//! How much is asked for, by a count that forgets.
+//! Demand rate as an exponentially decaying average.
 
-/// Time after which half of what was asked for is forgotten, in ms: demand
-/// moves within seconds, and a single request says little.
+/// Half-life of recorded demand, in ms: demand changes within seconds, and a
+/// single request says little about it.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// Units a second over about the last second.
+/// Demand in units per second, averaged over about the last second.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DemandRate {
     count: f64,
@@ -12,13 +12,13 @@
 }
 
 impl DemandRate {
-    /// Takes in a request of `units` at `now`.
+    /// Records a request of `units` at `now`.
     pub(crate) fn add(&mut self, units: f64, now: u64) {
         self.count = self.decayed(now) + units;
         self.updated_at_ms = now;
     }
 
-    /// Units a second.
+    /// Units per second.
     pub(crate) fn rate(&self, now: u64) -> f64 {
         self.decayed(now) * std::f64::consts::LN_2 * 1_000.0 / HALF_LIFE_MS
     }
--- a/crates/comfreyhall-workspace/src/entry.rs
+++ b/crates/comfreyhall-workspace/src/entry.rs
@@ -1,10 +1,11 @@
-//! Reading workspaces as an operator wrote them.
+//! Reads workspaces as an operator wrote them.
 //!
-//! A configuration that is in force may say odd things. Refusing all of it
-//! would leave keys in force that were taken back; reading it as meant well
-//! would let a workspace use what it may not. So each entry is read part by
-//! part on the safe side, and every oddity is named: where a change is made
-//! through our own interface, one of them refuses it.
+//! An active configuration may contain invalid values. Rejecting all of it
+//! would leave revoked keys active; guessing what was meant could let a
+//! workspace use more than it may. So each entry is read field by field, an
+//! invalid field gets its most restrictive meaning, and every problem is
+//! reported. When a change is made through our own interface, any problem
+//! rejects it.
 
 use std::sync::Arc;
 
@@ -13,109 +14,114 @@
 
 use crate::{Allowance, KeyHash, KeyHasher, Name, Quota, QuotaUnit, Workspace, Workspaces};
 
-/// Least urgent rank.
+/// Lowest priority.
 const LEAST_URGENT: u8 = 9;
 
-/// A number as it was written.
+/// A number as written in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum RawNumber {
-    /// Left out.
+    /// Not given.
     #[default]
     Absent,
-    /// This number.
+    /// A number.
     Number(f64),
-    /// Something that is no number.
+    /// Not a number.
     Invalid,
 }
 
-/// A unit as it was written.
+/// A quota unit as written in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RawUnit {
-    /// Requests, also if it was left out.
+    /// Requests; also the default if no unit is given.
     #[default]
     Requests,
     /// Tokens.
     Tokens,
-    /// Something else.
+    /// Neither of these.
     Invalid,
 }
 
-/// One workspace as it was written.
+/// One workspace as written in the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WorkspaceEntry {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its keys.
+    /// Hashes of its API keys.
     pub keys: Vec<KeyHash>,
-    /// Keys that are no text.
+    /// Number of keys that are not strings.
     pub invalid_keys: usize,
-    /// Its rank.
+    /// Rank among workspaces; 0 is first.
     pub rank: RawNumber,
-    /// What its cap counts.
+    /// What its quota counts.
     pub unit: RawUnit,
-    /// What a request without a size counts as.
+    /// Number of tokens that a request of unknown size counts as.
     pub default_tokens: RawNumber,
-    /// Units a second.
+    /// Units per second.
     pub rate: RawNumber,
-    /// Units more at once.
+    /// Units beyond the rate that may be used at once.
     pub burst: RawNumber,
 }
 
-/// What is odd about an entry.
+/// A problem found in an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EntryProblem {
-    /// It has no name.
-    #[error("a workspace has no name, so its keys are refused; give it one")]
+    /// The workspace has no name.
+    #[error("a workspace has no name, so its keys are rejected; give it a name")]
     MissingName,
-    /// Two entries have one name.
+    /// Two entries have the same name.
     #[error(
-        "workspace {0} is listed twice: the lower quota counts for the keys of both; \
-         write one entry"
+        "workspace {0} is listed twice: the lower quota applies to the keys of both; \
+         merge the entries"
     )]
     DuplicateName(String),
     /// A key belongs to two workspaces.
     #[error(
-        "workspaces {first} and {second} have a key in common, so it is refused; \
-         give each a key of its own"
+        "workspaces {first} and {second} share a key, so it is rejected; \
+         give each workspace its own key"
     )]
     SharedKey {
-        /// The one.
+        /// The workspace listed first.
         first: String,
-        /// The other.
+        /// The other workspace.
         second: String,
     },
-    /// A key is no text.
-    #[error("workspace {0} has a key that is no text, so it is refused; write it as text")]
+    /// A key is not a string.
+    #[error(
+        "workspace {0} has a key that is not a string, so it is rejected; write it as a string"
+    )]
     InvalidKey(String),
-    /// The rank is none.
+    /// The rank is out of range or not a whole number.
     #[error(
-        "the rank of workspace {0} is no whole number from 0 to 9, so it comes last; \
-         give one, or leave it out for its routes' own"
+        "the rank of workspace {0} is not a whole number from 0 to 9, so it gets the lowest priority; \
+         set a rank, or leave it out to use the priorities of the routes"
     )]
     InvalidRank(String),
-    /// The rate or the burst is no number of units.
+    /// The rate or the burst is not a valid number of units.
     #[error(
-        "the {field} of workspace {name} is no number of 0 or more, so it may use nothing; \
-         give one, or leave the rate out for no quota"
+        "the {field} of workspace {name} is not a number of 0 or more, so all its requests are refused; \
+         correct it, or leave the rate out for no quota"
     )]
     InvalidQuota {
-        /// The workspace.
+        /// Name of the workspace.
         name: String,
-        /// Which of the two.
+        /// Name of the invalid field.
         field: &'static str,
     },
     /// The unit is unknown.
-    #[error("the unit of workspace {0} is unknown, so it may use nothing; use requests or tokens")]
+    #[error(
+        "the unit of workspace {0} is unknown, so all its requests are refused; use requests or tokens"
+    )]
     InvalidUnit(String),
-    /// What a request without a size counts as is no number.
+    /// The default number of tokens is missing or not a valid number.
     #[error(
-        "workspace {0} does not say in whole tokens what a request without a size counts as, \
-         so each counts as a second of its rate; give a number above 0"
+        "workspace {0} does not set how many whole tokens a request of unknown size counts as, \
+         so each counts as one second of its rate; set a number above 0"
     )]
     InvalidDefault(String),
 }
 
-/// Reads `entries`, whose keys `hasher` has hashed; also what is odd in them.
+/// Converts `entries` into workspaces and returns the problems found in them.
+/// The keys in `entries` were hashed by `hasher`.
 pub fn read_entries(
     hasher: KeyHasher,
     entries: Vec<WorkspaceEntry>,
@@ -127,13 +133,14 @@
     reader.finish(hasher)
 }
 
-/// Entries read so far.
+/// Accumulates the entries read so far.
 #[derive(Default)]
 struct EntryReader {
     all: Vec<Workspace>,
-    /// Place in `all` by name.
+    /// Index in `all`, by name.
     indices: Map<Name, usize>,
-    /// Whose each key is; `None` for a key of two.
+    /// Index of the workspace that owns each key; `None` if two workspaces list
+    /// it.
     keys: Map<KeyHash, Option<usize>>,
     problems: Vec<EntryProblem>,
 }
@@ -159,7 +166,8 @@
         }
     }
 
-    /// Where `workspace` stands in `all`.
+    /// Adds `workspace`, or merges it into an earlier entry of the same name,
+    /// and returns its index in `all`.
     fn insert_or_merge(&mut self, workspace: Workspace) -> usize {
         if let Some(index) = self.indices.get(&workspace.name).copied() {
             self.problems
@@ -175,7 +183,8 @@
         index
     }
 
-    /// Gives `key` to the workspace at `place`, unless another has it.
+    /// Assigns `key` to the workspace at `index`, or to none if another
+    /// workspace has it.
     fn assign_key(&mut self, key: KeyHash, index: usize) {
         match self.keys.get(&key).copied() {
             None => {
@@ -231,7 +240,7 @@
         Allowance::Limited(Quota { unit, rate, burst })
     }
 
-    /// A number of units; `None` if it is none.
+    /// The number of units; `None` if it is invalid.
     fn units(
         &mut self,
         entry: &WorkspaceEntry,
@@ -271,7 +280,7 @@
     }
 }
 
-/// The allowance that permits less.
+/// Combines two allowances into one that permits no more than either.
 fn stricter(a: Allowance, b: Allowance) -> Allowance {
     match (a, b) {
         (Allowance::Unlimited, other) | (other, Allowance::Unlimited) => other,
@@ -282,7 +291,7 @@
                 unit: a.unit,
             })
         }
-        // Caps in two units cannot be compared.
+        // Quotas in different units cannot be compared.
         _ => Allowance::Denied,
     }
 }
--- a/crates/comfreyhall-workspace/src/granting.rs
+++ b/crates/comfreyhall-workspace/src/granting.rs
@@ -1,12 +1,13 @@
-//! Caps by granting: the home of a cap has a bucket, and grants single requests
-//! out of it.
+//! Quotas by granting: the coordinator of a quota has a token bucket and grants
+//! credit for single requests out of it.
 //!
-//! Nothing lies with the other daemons and nothing is renewed: a daemon asks its
-//! home when a request has come that needs credit, and not again before its turn
-//! once it was refused. So it suits caps of few requests before many daemons, of
-//! which most have none. It rests on there being one home at a time, as the holder
-//! of a lease is; without one nothing is granted. A new home begins with an
-//! empty bucket, since it does not know what the one before has granted.
+//! The other daemons hold no credit in stock and renew nothing: a daemon asks
+//! the coordinator when a request that needs credit has arrived, and after a
+//! refusal not before the retry time it was given. So this suits quotas of few
+//! requests spread over many daemons, most of which have none. It relies on
+//! there being one coordinator at a time, as for the holder of a lease; without
+//! a coordinator nothing is granted. A new coordinator starts with an empty
+//! bucket, since it does not know what its predecessor has granted.
 
 use comfreyhall_protocol::Map;
 
@@ -15,37 +16,38 @@
     SettleReply, SettleRequest, UsageLine, limiter::PlacedQuota,
 };
 
-/// Units and seconds of the rate that may gather in the bucket: with a single
-/// request, those that come a moment apart would leave part of the rate unused.
+/// Capacity of the bucket besides the burst, in units and in seconds of the
+/// rate: with room for a single request only, requests that arrive a moment
+/// apart would leave part of the rate unused.
 const BASE_CAPACITY: f64 = 2.0;
 const CAPACITY_S: f64 = 0.5;
 
-/// How long credit that was granted may wait for its request, in ms.
+/// How long granted credit stays available for its request, in ms.
 const CREDIT_TTL_MS: u64 = 400;
 
-/// Longest that a call may be on its way, in ms.
+/// Timeout of a call, in ms.
 const CALL_TIMEOUT_MS: u64 = 400;
 
-/// How long a home that did not answer is not asked, in ms.
+/// Pause before a coordinator that did not answer is called again, in ms.
 const BACKOFF_MS: u64 = 300;
 
-/// Until a home may be found where none is known, in ms.
+/// Delay until a coordinator may be found where none is known, in ms.
 const DISCOVERY_MS: u64 = 250;
 
-/// Part of the time between two requests after which the next one that was
-/// refused is to come back: some of them have gone elsewhere meanwhile.
+/// Spacing of retry times, as a fraction of the time between two requests at
+/// the quota's rate: some refused clients have gone elsewhere by then.
 const RETRY_SPACING: f64 = 0.7;
 
-/// Longest that a refused one is told to wait, in ms.
+/// Maximum delay that a refused request is told to wait, in ms.
 const MAX_RETRY_MS: f64 = 5_000.0;
 
-/// The bucket of one cap at its home.
+/// The token bucket of one quota, at its coordinator.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     balance: f64,
-    /// Up to when it was filled.
+    /// Time up to which the bucket has been filled.
     filled_at_ms: u64,
-    /// When the last of those that were refused is to come back.
+    /// Latest retry time given to a refused request.
     last_retry_ms: u64,
 }
 
@@ -58,13 +60,14 @@
         }
     }
 
-    /// What there is at `now`.
+    /// Units in the bucket at `now`.
     fn level(&self, quota: &Quota, now: u64) -> f64 {
-        let passed = now.saturating_sub(self.filled_at_ms) as f64 / 1_000.0;
-        (self.balance + passed * quota.rate).min(capacity(quota))
+        let elapsed_s = now.saturating_sub(self.filled_at_ms) as f64 / 1_000.0;
+        (self.balance + elapsed_s * quota.rate).min(capacity(quota))
     }
 
-    /// Takes out what `need` lacks, in whole requests of `least`.
+    /// Grants `need` units, or as many whole requests of `min_need` as the
+    /// bucket covers.
     fn grant(&mut self, quota: &Quota, need: f64, min_need: f64, now: u64) -> f64 {
         self.balance = self.level(quota, now);
         self.filled_at_ms = now;
@@ -77,8 +80,9 @@
         grant
     }
 
-    /// Ms until one that was refused should come back: each has a turn of its
-    /// own, so that they do not come together.
+    /// Delay until a refused request should be retried, in ms. Each refusal
+    /// gets a retry time of its own, so that the retries do not arrive
+    /// together.
     fn retry_delay_ms(&mut self, quota: &Quota, size: f64, now: u64) -> u64 {
         let ms = |units: f64| units / quota.rate.max(f64::MIN_POSITIVE) * 1_000.0;
         let available_at = now as f64 + ms(size - self.level(quota, now));
@@ -86,7 +90,8 @@
         let latest = now as f64 + MAX_RETRY_MS;
         let retry_at = available_at.max(after_previous);
         if retry_at > latest {
-            // Too many wait: those beyond share the second half of the time.
+            // Too many requests wait: the excess ones share the second half of
+            // the interval.
             let excess = (retry_at - latest) % (MAX_RETRY_MS / 2.0);
             return (MAX_RETRY_MS - excess) as u64;
         }
@@ -95,12 +100,12 @@
     }
 }
 
-/// Most that gathers in a bucket.
+/// Capacity of a bucket.
 fn capacity(quota: &Quota) -> f64 {
     BASE_CAPACITY + quota.burst + quota.rate * CAPACITY_S
 }
 
-/// Credit for one cap at the daemon that asked for it.
+/// Credit for one quota at the daemon that asked for it.
 #[derive(Debug, Clone, Copy, Default)]
 struct CreditBalance {
     balance: f64,
@@ -136,12 +141,12 @@
     }
 }
 
-/// One group, as seen from here.
+/// State of the communication with the coordinator of one group.
 #[derive(Debug, Default)]
 struct CoordinatorLink {
     coordinator: Option<PeerProcess>,
     serial: u64,
-    /// The last call that was answered or given up.
+    /// The last call that was answered or has failed.
     last_answered: u64,
     called_at_ms: u64,
     in_flight: bool,
@@ -156,7 +161,7 @@
     }
 }
 
-/// Caps by granting.
+/// Rate limiter that grants credit for single requests.
 pub struct GrantingLimiter {
     local: PeerProcess,
     quotas: Map<Name, PlacedQuota>,
@@ -166,7 +171,7 @@
 }
 
 impl GrantingLimiter {
-    /// Nothing is known yet.
+    /// Creates a limiter without quotas or known coordinators.
     pub fn new(local: PeerProcess) -> Self {
         Self {
             local,
@@ -181,14 +186,14 @@
         self.links.get(&self.quotas.get(name)?.group)
     }
 
-    /// Whether this daemon is the home of `group`.
+    /// Whether this daemon is the coordinator of `group`.
     fn is_coordinator(&self, group: &str) -> bool {
         let link = self.links.get(group);
         link.is_some_and(|l| l.coordinator.as_ref() == Some(&self.local))
     }
 
-    /// Grants out of the own bucket: how much, and when to come back for the
-    /// rest, in ms.
+    /// Grants credit out of the local bucket. Returns the grant and the retry
+    /// delay for the rest, in ms.
     fn grant(&mut self, name: &str, need: f64, min_need: f64, now: u64) -> (f64, u64) {
         let Some((name, placed)) = self.quotas.get_key_value(name) else {
             return (0.0, DISCOVERY_MS);
@@ -206,7 +211,7 @@
 impl RateLimiter for GrantingLimiter {
     fn set_quotas(&mut self, quotas: Map<Name, PlacedQuota>, groups: &[Name], now: u64) {
         for (name, new) in &quotas {
-            // What gathered at the old rate is bounded by the new one.
+            // Credit gathered at the old rate is bounded by the new capacity.
             if let (Some(bucket), Some(old)) = (self.buckets.get_mut(name), self.quotas.get(name)) {
                 bucket.balance = bucket.level(&old.quota, now).min(capacity(&new.quota));
                 bucket.filled_at_ms = now;
@@ -296,17 +301,17 @@
             return 0;
         }
         let known = link.coordinator.is_some();
-        let home_ms = if known { 0 } else { DISCOVERY_MS };
-        let silent_ms = link.backoff_until_ms.saturating_sub(now);
+        let discovery_ms = if known { 0 } else { DISCOVERY_MS };
+        let backoff_ms = link.backoff_until_ms.saturating_sub(now);
         let refused_ms = credit.refused_until_ms.saturating_sub(now);
-        home_ms.max(silent_ms).max(refused_ms)
+        discovery_ms.max(backoff_ms).max(refused_ms)
     }
 
     fn has_surplus(&self, name: &str, now: u64) -> bool {
         let Some(placed) = self
             .quotas
             .get(name)
-            .filter(|k| self.is_coordinator(&k.group))
+            .filter(|q| self.is_coordinator(&q.group))
         else {
             return false;
         };
@@ -317,14 +322,15 @@
     fn mark_sent(&mut self, _name: &str, _size: u64) {}
 
     fn release_unsent(&mut self, name: &str, size: u64) {
-        let coordinator = self
+        let is_coordinator = self
             .quotas
             .get(name)
-            .is_some_and(|k| self.is_coordinator(&k.group));
-        if let Some(bucket) = self.buckets.get_mut(name).filter(|_| coordinator) {
+            .is_some_and(|q| self.is_coordinator(&q.group));
+        if let Some(bucket) = self.buckets.get_mut(name).filter(|_| is_coordinator) {
             bucket.balance += size as f64;
         } else if let Some(credit) = self.credits.get_mut(name) {
-            // Its time goes on: it was granted for a request of then.
+            // The expiry time stays: the credit was granted for a request at
+            // that time.
             credit.balance += size as f64;
         }
     }
@@ -335,18 +341,23 @@
 
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let due = self.links.iter().filter_map(|(group, link)| {
-            let coordinator = link.coordinator.as_ref().filter(|h| **h != self.local)?;
-            let asks = link.urgent && !link.is_busy(now) && now >= link.backoff_until_ms;
-            asks.then(|| (group.clone(), coordinator.clone()))
+            let coordinator = link.coordinator.as_ref().filter(|c| **c != self.local)?;
+            let needs_credit = link.urgent && !link.is_busy(now) && now >= link.backoff_until_ms;
+            needs_credit.then(|| (group.clone(), coordinator.clone()))
         });
         due.collect()
     }
 
-    fn settle_request(&mut self, group: &Name, _home: &PeerProcess, now: u64) -> SettleRequest {
+    fn settle_request(
+        &mut self,
+        group: &Name,
+        _coordinator: &PeerProcess,
+        now: u64,
+    ) -> SettleRequest {
         let quotas = &self.quotas;
-        let here = |name: &Name| quotas.get(name).is_some_and(|q| q.group == *group);
+        let in_group = |name: &Name| quotas.get(name).is_some_and(|q| q.group == *group);
         let waiting = self.credits.iter_mut();
-        let waiting = waiting.filter(|(name, credit)| credit.need > 0.0 && here(name));
+        let waiting = waiting.filter(|(name, credit)| credit.need > 0.0 && in_group(name));
         let lines = waiting.map(|(name, credit)| UsageLine {
             workspace: name.to_string(),
             need: std::mem::take(&mut credit.need),
@@ -369,10 +380,15 @@
         }
     }
 
-    fn handle_settle(&mut self, request: &SettleRequest, _met: u64, now: u64) -> SettleReply {
-        let coordinator = self.is_coordinator(&request.group);
+    fn handle_settle(
+        &mut self,
+        request: &SettleRequest,
+        _known_since_ms: u64,
+        now: u64,
+    ) -> SettleReply {
+        let is_coordinator = self.is_coordinator(&request.group);
         let lines = request.lines.iter().map(|line| {
-            let (grant, retry_ms) = match coordinator {
+            let (grant, retry_ms) = match is_coordinator {
                 true => self.grant(&line.workspace, line.need, line.min_need, now),
                 false => (0.0, DISCOVERY_MS),
             };
@@ -387,7 +403,7 @@
         SettleReply {
             boot: self.local.boot,
             clock_ms: now,
-            lendable_share: f64::from(u8::from(coordinator)),
+            lendable_share: f64::from(u8::from(is_coordinator)),
             lines,
         }
     }
@@ -436,7 +452,7 @@
 
     fn snapshot(&self, name: &str, now: u64) -> QuotaSnapshot {
         let placed = self.quotas.get(name);
-        let link = placed.and_then(|k| self.links.get(&k.group));
+        let link = placed.and_then(|q| self.links.get(&q.group));
         let credit = self.credits.get(name).copied().unwrap_or_default();
         QuotaSnapshot {
             rate: placed.map_or(0.0, |q| q.quota.rate),
--- a/crates/comfreyhall-workspace/src/lending/account.rs
+++ b/crates/comfreyhall-workspace/src/lending/account.rs
@@ -1,9 +1,9 @@
-//! One workspace's account at its home.
+//! One workspace's account at its coordinator.
 //!
-//! A cap allows `rate` x window + `burst` in any window. A bucket alone would
-//! allow a busy workspace the rate and the burst only once, so the burst comes
-//! back as a bonus on the rate, spread over the window, and what was lent in
-//! the last window is counted besides.
+//! A quota allows `rate` x window + `burst` in any window. A token bucket alone
+//! would give a busy workspace the burst only once in addition to the rate, so
+//! the burst is paid out as a bonus on the rate, spread over the window. In
+//! addition, what was lent in the last window is counted and bounded.
 
 use std::collections::VecDeque;
 
@@ -11,45 +11,46 @@
 
 use crate::{GrantLine, Name, Quota, Tolerance, UsageLine};
 
-/// Part of the tolerance that may lie with daemons beyond what their requests
-/// wait for: it is what a home that takes over does not know of at first.
+/// Fraction of the tolerance that daemons may hold beyond what their requests
+/// wait for: a coordinator that takes over does not know of this credit at
+/// first.
 const PREFETCH_FRACTION: f64 = 0.25;
 
-/// Part of the tolerance that may lie unused beyond the burst: credit on its way
-/// to those who use it, which would be lost to the rate else.
+/// Fraction of the tolerance that may be held unused beyond the burst: credit
+/// on its way to its users, which would otherwise be lost to the rate.
 const UNUSED_FRACTION: f64 = 0.5;
 
-/// Part of the tolerance that the bonus may come to in a window: a home that
-/// takes over does not know what the one before has lent.
+/// Fraction of the tolerance that the bonus may reach in a window: a
+/// coordinator that takes over does not know what its predecessor has lent.
 const BONUS_FRACTION: f64 = 0.9;
 
-/// How long a refusal counts in the estimate of when there is more, in ms.
+/// How long a refusal counts in the estimate of the retry delay, in ms.
 const UNMET_TTL_MS: u64 = 1_000;
 
-/// Bounds of that estimate, in ms.
+/// Minimum and maximum of that estimate, in ms.
 const RETRY_RANGE_MS: (f64, f64) = (20.0, 5_000.0);
 
-/// Slots in which a window is counted.
+/// Number of intervals in which a window is counted.
 const WINDOW_INTERVALS: u64 = 80;
 
-/// What a home may lend of one cap.
+/// What a coordinator may lend of one quota.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LendingTerms {
-    /// Units a second.
+    /// Units per second.
     rate: f64,
-    /// Units a second besides, of the burst.
+    /// Bonus from the burst, in units per second in addition to the rate.
     bonus: f64,
-    /// Units that may lie unused at once.
+    /// Maximum number of units that may be held unused.
     max_unused: f64,
-    /// Of these, units at daemons that no request needs.
+    /// Maximum number of those units at daemons that no request needs.
     max_prefetch: f64,
-    /// Units in a window.
+    /// Maximum number of units lent in a window.
     window_limit: f64,
     window_ms: u64,
 }
 
 impl LendingTerms {
-    /// For a home that lends `part` of `cap`.
+    /// The terms for a coordinator that lends `share` of `quota`.
     pub(super) fn of(quota: &Quota, tolerance: &Tolerance, share: f64) -> Self {
         let tolerated = tolerance.tolerated_excess(quota);
         let window_s = tolerance.window_ms as f64 / 1_000.0;
@@ -64,20 +65,22 @@
     }
 }
 
-/// Seconds of a whole rate, and of a whole bonus, that a home was given.
+/// Time, weighted by the lendable share, for which a coordinator accrued the
+/// rate and the bonus, in s.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AccruedTime {
     pub(super) rate_s: f64,
     pub(super) bonus_s: f64,
 }
 
-/// What the home has lent to one daemon, as far as is known.
+/// What the coordinator has lent to one daemon, as far as it knows.
 #[derive(Debug, Clone, Copy, Default)]
 struct Loan {
     held: f64,
     reserved: f64,
     demand: f64,
-    /// What it lacked and did not get, and when.
+    /// Units that the daemon lacked and did not get, and when this was
+    /// recorded.
     unmet: f64,
     updated_at_ms: u64,
 }
@@ -86,14 +89,14 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Account {
     balance: f64,
-    /// Up to where it was credited.
+    /// Accrued time that is already credited.
     credited_to: AccruedTime,
     loans: Map<Name, Loan>,
     window: Window,
 }
 
 impl Account {
-    /// Keeps what was lent to daemons for which `keep` is true.
+    /// Keeps only the loans of daemons for which `keep` is true.
     pub(super) fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         self.loans.retain(|from, _| keep(from));
     }
@@ -102,7 +105,7 @@
         self.loans.values().map(|l| l.held).sum()
     }
 
-    /// Units that lie unused here and at daemons.
+    /// Units held unused here and at daemons.
     fn unused(&self) -> f64 {
         self.balance
             + self
@@ -112,8 +115,8 @@
                 .sum::<f64>()
     }
 
-    /// Credits what was minted since.
-    fn credit(&mut self, terms: &LendingTerms, accrued: AccruedTime) {
+    /// Credits what accrued since the last call.
+    fn accrue(&mut self, terms: &LendingTerms, accrued: AccruedTime) {
         let rate = (accrued.rate_s - self.credited_to.rate_s).max(0.0) * terms.rate;
         let bonus = (accrued.bonus_s - self.credited_to.bonus_s).max(0.0) * terms.bonus;
         self.credited_to = accrued;
@@ -130,7 +133,8 @@
         self.loans.values().filter(recent).map(|l| l.unmet).sum()
     }
 
-    /// Settles with the daemon `from`; `part`: of the cap that the home lends.
+    /// Settles with the daemon `from`, on the terms of the share that the
+    /// coordinator lends.
     pub(super) fn settle(
         &mut self,
         from: &Name,
@@ -146,7 +150,7 @@
         loan.updated_at_ms = now;
         self.balance += line.returned;
         self.window.add(-line.returned, terms.window_ms, now);
-        self.credit(terms, accrued);
+        self.accrue(terms, accrued);
         let window_room = (terms.window_limit - self.window.sum(terms.window_ms, now)).max(0.0);
         let grant = self.grant(line, terms, self.balance.min(window_room));
         self.balance -= grant;
@@ -171,18 +175,19 @@
         }
     }
 
-    /// What `line` gets of `most`.
+    /// Units of `available` that are granted to `line`.
     fn grant(&self, line: &UsageLine, terms: &LendingTerms, available: f64) -> f64 {
         let prefetch_room = (terms.max_prefetch - self.held()).max(0.0);
         match available >= line.need {
             true => line.need + line.prefetch.min(prefetch_room).min(available - line.need),
-            // Some of those who wait, if it does for the first.
+            // Grant some of the waiting requests if there is enough for the
+            // smallest.
             false if available >= line.min_need => available,
             false => 0.0,
         }
     }
 
-    /// When there is as much again as was refused lately, in ms.
+    /// Delay until there is as much again as was recently refused, in ms.
     fn retry_ms(&self, terms: &LendingTerms, now: u64) -> u64 {
         let missing = (self.unmet(now) - self.balance).max(0.0);
         let rate = terms.rate.max(f64::MIN_POSITIVE);
@@ -190,10 +195,10 @@
     }
 }
 
-/// What was lent, less what came back, in the last window.
+/// What was lent in the last window, minus what was returned.
 #[derive(Debug, Clone, Default)]
 struct Window {
-    /// Number of each slot, and what was lent in it.
+    /// Number of each interval, and the units lent in it.
     intervals: VecDeque<(u64, f64)>,
 }
 
@@ -215,7 +220,7 @@
         while self
             .intervals
             .front()
-            .is_some_and(|(s, _)| s + WINDOW_INTERVALS < interval)
+            .is_some_and(|(first, _)| first + WINDOW_INTERVALS < interval)
         {
             self.intervals.pop_front();
         }
--- a/crates/comfreyhall-workspace/src/lending/credit.rs
+++ b/crates/comfreyhall-workspace/src/lending/credit.rs
@@ -1,17 +1,17 @@
-//! A borrower's side: credit that one daemon has for one workspace.
+//! The borrower's side: credit that one daemon holds for one workspace.
 
 use crate::{GrantLine, UsageLine, demand::DemandRate};
 
-/// Demand for which credit is borrowed ahead, in s: a bit more than the pause
-/// between two settlements, so that a busy workspace's requests need not wait
-/// for one.
+/// Seconds of demand for which credit is borrowed ahead: slightly more than the
+/// interval between two settlements, so that requests of a busy workspace need
+/// not wait for one.
 const PREFETCH_S: f64 = 0.6;
 
-/// Longest that a refusal is passed on to other requests without asking again,
-/// in ms: credit comes back all the time, and other daemons take it.
+/// Maximum time for which a refusal is applied to other requests without asking
+/// again, in ms: credit comes back continuously, and other daemons take it.
 const REFUSAL_TTL_MS: u64 = 150;
 
-/// Demand below which a workspace is forgotten, in units a second.
+/// Demand below which a workspace is dropped, in units per second.
 const MIN_DEMAND: f64 = 0.01;
 
 /// Credit of one workspace at one daemon.
@@ -22,27 +22,28 @@
     demand: DemandRate,
     /// Size of the last request.
     last_size: f64,
-    /// Credit that requests lack since the last call.
+    /// Credit that requests have lacked since the last call.
     need: f64,
     min_need: f64,
-    /// Nothing is asked for before this.
+    /// Nothing is requested before this time.
     refused_until_ms: u64,
-    /// When there is more.
+    /// When there will be more credit.
     retry_at_ms: u64,
-    /// Whether the home takes this daemon to have some.
+    /// Whether the coordinator believes that this daemon has credit or demand.
     reported: bool,
-    /// Units lent to all in the last window, as the home last told.
+    /// Units lent to all daemons in the last window, as last reported by the
+    /// coordinator.
     lent_total: f64,
 }
 
 impl CreditBalance {
-    /// Counts a request of `size`.
+    /// Records a request of `size`.
     pub(super) fn record_demand(&mut self, size: f64, now: u64) {
         self.demand.add(size, now);
         self.last_size = size;
     }
 
-    /// Reserves `size`, if there is as much.
+    /// Reserves `size` if the balance covers it.
     pub(super) fn reserve(&mut self, size: f64) -> bool {
         let enough = self.balance >= size;
         if enough {
@@ -65,7 +66,7 @@
         self.balance += size;
     }
 
-    /// A request of `size` waits for credit.
+    /// Records that a request of `size` waits for credit.
     pub(super) fn add_need(&mut self, size: f64) {
         self.min_need = match self.need > 0.0 {
             true => self.min_need.min(size),
@@ -74,26 +75,27 @@
         self.need += size;
     }
 
-    /// Ms until there is more, if it was refused lately.
+    /// Delay until there is more credit, in ms, if a request was refused
+    /// recently.
     pub(super) fn retry_after_ms(&self, now: u64) -> Option<u64> {
         (now < self.refused_until_ms).then(|| self.retry_at_ms.saturating_sub(now))
     }
 
-    /// Whether it is so low that busy requests would soon wait.
+    /// Whether the balance is so low that busy requests would soon wait.
     pub(super) fn is_low(&self, now: u64) -> bool {
         now >= self.refused_until_ms && self.balance < self.prefetch_target(now) / 2.0
     }
 
-    /// Whether it says nothing and the home knows so.
+    /// Whether there is nothing to report and the coordinator knows that.
     pub(super) fn is_idle(&self, now: u64) -> bool {
         let empty = self.balance <= 0.0 && self.reserved <= 0.0 && self.need <= 0.0;
         empty && !self.reported && self.demand.rate(now) < MIN_DEMAND
     }
 
-    /// Credit to have ahead of requests.
+    /// Credit to hold ahead of requests.
     ///
-    /// Where a daemon sees a workspace's requests seldom, credit kept for the
-    /// next one would lie idle while others need it.
+    /// If a daemon rarely sees a workspace's requests, credit held for the next
+    /// one would lie idle while other daemons need it.
     fn prefetch_target(&self, now: u64) -> f64 {
         let target = self.demand.rate(now) * PREFETCH_S;
         if target >= self.last_size {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// What the home is told.
+    /// Builds the line to report to the coordinator.
     pub(super) fn report(&mut self, workspace: &str, now: u64) -> UsageLine {
         let target = self.prefetch_target(now);
         let need = (std::mem::take(&mut self.need) - self.balance).max(0.0);
@@ -126,7 +128,7 @@
         line
     }
 
-    /// Takes in what the home lends.
+    /// Applies what the coordinator granted.
     pub(super) fn apply_grant(&mut self, grant_line: &GrantLine, now: u64) {
         self.balance += grant_line.grant;
         self.lent_total = grant_line.lent;
--- a/crates/comfreyhall-workspace/src/lending/ledger.rs
+++ b/crates/comfreyhall-workspace/src/lending/ledger.rs
@@ -1,10 +1,11 @@
-//! A home's side: what it may lend, and what it has lent.
+//! The coordinator's side: what it may lend, and what it has lent.
 //!
-//! A home lends only what daemons have given it the right to: each gives its
-//! own part of every cap to one home at a time, for a short term counted from a
-//! moment of the home's own clock. So however the fleet is torn apart, the
-//! parts that all homes lend together are at most the whole, and a home that
-//! nobody reaches any more has only its own.
+//! A coordinator lends only what daemons have given it the right to: each
+//! daemon assigns its own share of every quota to one coordinator at a time,
+//! for a short term that is counted by the coordinator's own clock. So under
+//! any network partition the shares that all coordinators lend add up to at
+//! most the whole quota, and a coordinator that nobody reaches has only its own
+//! share.
 
 use comfreyhall_protocol::Map;
 
@@ -13,33 +14,34 @@
     FleetView, GrantLine, Name, PeerProcess, Quota, SettleReply, SettleRequest, Tolerance,
 };
 
-/// How long a daemon must have been known before its part counts, in ms: those
-/// that are out of hearing still count on fewer members until then.
+/// How long a daemon must have been known before its share counts, in ms: until
+/// then, unreachable daemons may still compute their shares for fewer members.
 pub(super) const MIN_KNOWN_MS: u64 = 10_000;
 
-/// What a minority lends of its parts: as many new members as there were may
-/// have joined on the other side.
+/// Factor on the shares that a minority partition lends: as many new members as
+/// there were may have joined on the other side.
 const MINORITY_FACTOR: f64 = 0.5;
 
-/// A home's part from which on it knows enough to say what all use.
+/// Lendable share from which a coordinator knows enough about total use to
+/// refuse requests.
 pub(super) const QUORUM_SHARE: f64 = 0.5;
 
-/// How long a home must know it before it lends more than the rate, in ms: the
-/// one before may have lent a burst within the window.
+/// How long a coordinator must have had that share before it lends more than
+/// the rate, in ms: its predecessor may have lent a burst within the window.
 const BONUS_DELAY_MS: u64 = 8_000;
 
-/// How long what was lent to a daemon that is not heard of any more counts as
-/// unused, in ms: it may be cut off and have it still.
+/// How long loans to a daemon that is no longer heard from count as unused, in
+/// ms: it may be disconnected and still hold them.
 const FORGET_AFTER_MS: u64 = 60_000;
 
-/// The part that a daemon gave.
+/// The share that a daemon assigned.
 #[derive(Debug, Clone)]
 struct DelegatedShare {
     boot: u64,
     fraction: f64,
     expires_at_ms: u64,
     serial: u64,
-    /// Since when the daemon is known here.
+    /// Since when the daemon has been known here.
     known_since_ms: u64,
 }
 
@@ -50,18 +52,18 @@
     accounts: Map<Name, Account>,
     accrued: AccruedTime,
     lendable_share: f64,
-    /// Since when it lends enough to know what all use; 0 if it does not.
+    /// Since when it has lent enough to know total use; 0 if it does not.
     quorum_since_ms: u64,
     advanced_at_ms: u64,
 }
 
 impl Ledger {
-    /// Forgets accounts of workspaces for which `keep` is false.
+    /// Drops accounts of workspaces for which `keep` is false.
     pub(super) fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         self.accounts.retain(|name, _| keep(name));
     }
 
-    /// Goes on to `now` with the shares that still hold.
+    /// Advances to `now` with the shares that are still valid.
     pub(super) fn advance(&mut self, fleet: FleetView, uptime_ms: u64, now: u64) {
         let elapsed_s = now.saturating_sub(self.advanced_at_ms) as f64 / 1_000.0;
         let before = self.lendable_share;
@@ -73,13 +75,13 @@
             (true, since_ms) => since_ms,
         };
         if self.advanced_at_ms > 0 {
-            // Shares that lapsed meanwhile did so at some unknown moment.
-            let part = before.min(self.lendable_share);
-            self.accrued.rate_s += part * elapsed_s;
+            // Shares that expired in between did so at an unknown time.
+            let lendable = before.min(self.lendable_share);
+            self.accrued.rate_s += lendable * elapsed_s;
             if self.quorum_since_ms > 0
                 && now.saturating_sub(self.quorum_since_ms) >= BONUS_DELAY_MS
             {
-                self.accrued.bonus_s += part * elapsed_s;
+                self.accrued.bonus_s += lendable * elapsed_s;
             }
         }
         self.advanced_at_ms = now;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Takes back the part that `from` gave.
+    /// Revokes the share that `from` assigned.
     pub(super) fn revoke_share(&mut self, from: &str) {
         if let Some(share) = self.shares.get_mut(from) {
             share.expires_at_ms = 0;
@@ -107,21 +109,22 @@
         let active = self.shares.values().filter(|s| now < s.expires_at_ms);
         let members = fleet.members.max(1);
         let active_count = active.clone().count();
-        // All that are known are new to a home that has just started.
+        // To a coordinator that has just started, all known daemons are new.
         let known = |s: &&DelegatedShare| {
             uptime_ms < MIN_KNOWN_MS || now.saturating_sub(s.known_since_ms) >= MIN_KNOWN_MS
         };
-        let part: f64 = active.filter(known).map(|s| s.fraction).sum();
+        let total: f64 = active.filter(known).map(|s| s.fraction).sum();
         let partitioned = active_count * 2 < members || (fleet.stale && active_count < members);
         match partitioned {
-            // How small a part is cannot be known yet.
+            // The size of a share is not known yet.
             _ if !fleet.confirmed => 0.0,
-            true => part.min(1.0) * MINORITY_FACTOR,
-            false => part.min(1.0),
+            true => total.min(1.0) * MINORITY_FACTOR,
+            false => total.min(1.0),
         }
     }
 
-    /// Takes in the part that a daemon gives; false if a later call came before.
+    /// Accepts the share that a daemon assigns; false if a later request was
+    /// handled before.
     fn accept_share(&mut self, request: &SettleRequest, known_since_ms: u64, now: u64) -> bool {
         let from: Name = request.from.as_str().into();
         let known = self.shares.get(&from);
@@ -130,7 +133,7 @@
             return false;
         }
         if restarted {
-            // What the earlier process had is spent or gone.
+            // What the earlier process held is spent or lost.
             for account in self.accounts.values_mut() {
                 account.retain(|other| *other != from);
             }
@@ -149,7 +152,7 @@
         true
     }
 
-    /// Answers `call` with the caps that `cap_of` names.
+    /// Answers `request` with the quotas that `quota_of` returns.
     pub(super) fn answer<'a>(
         &mut self,
         request: &SettleRequest,
@@ -183,13 +186,13 @@
     }
 }
 
-/// What a home knows besides its ledger.
+/// What a coordinator knows in addition to its ledger.
 pub(super) struct LedgerContext<'a> {
     pub(super) fleet: FleetView,
     pub(super) tolerance: &'a Tolerance,
-    /// Ms since this daemon started.
+    /// Time since this daemon started, in ms.
     pub(super) uptime_ms: u64,
-    /// Since when the daemon that calls is known.
+    /// Since when the calling daemon has been known.
     pub(super) known_since_ms: u64,
     pub(super) now: u64,
 }
--- a/crates/comfreyhall-workspace/src/lending/mod.rs
+++ b/crates/comfreyhall-workspace/src/lending/mod.rs
@@ -1,10 +1,11 @@
-//! Caps by lending: the home of a workspace has the credit of all daemons, and
-//! lends it for short to those whose requests need it.
+//! Quotas by lending: the coordinator of a workspace holds the credit of all
+//! daemons and lends it for a short time to those whose requests need it.
 //!
-//! Every daemon has an equal part of every cap. It gives its part to the home
-//! that it knows of, for a term ([`ledger`]); it borrows what its requests need,
-//! a little ahead where they come often ([`purse`]). A daemon that hears of no
-//! home is its own, with nothing but its own part.
+//! Every daemon owns an equal share of every quota. It assigns its share to the
+//! coordinator that it knows of, for a term ([`ledger`]). It borrows what its
+//! requests need, slightly ahead of demand where they arrive often
+//! ([`credit`]). A daemon that knows of no coordinator acts as its own, with
+//! nothing but its own share.
 
 mod account;
 mod credit;
@@ -21,55 +22,56 @@
     SettleRequest, Tolerance, UsageLine, limiter::PlacedQuota,
 };
 
-/// How long a part given to a home stays there, in ms. Within it two renewals
-/// may be lost; after it another home may have the part.
+/// How long a share assigned to a coordinator stays there, in ms. Two renewals
+/// may be lost within a term; after it, another coordinator may get the share.
 const SHARE_TERM_MS: u64 = 1_500;
 
-/// Pause between two calls to a home that nothing calls for, in ms.
+/// Interval between two calls to a coordinator if nothing else triggers one, in
+/// ms.
 const RENEW_INTERVAL_MS: u64 = 400;
 
-/// Least pause between calls that only borrow ahead, in ms.
+/// Minimum interval between calls that only borrow ahead, in ms.
 const PREFETCH_INTERVAL_MS: u64 = 120;
 
-/// Longest that a call may be on its way, in ms.
+/// Timeout of a call, in ms.
 const CALL_TIMEOUT_MS: u64 = 400;
 
-/// How long a home that did not answer is not asked by requests, in ms.
+/// How long requests do not call a coordinator that did not answer, in ms.
 const BACKOFF_MS: u64 = 300;
 
-/// To whom this daemon's part is given.
+/// The coordinator that this daemon's share is assigned to.
 #[derive(Debug, Clone)]
 struct ShareAssignment {
     coordinator: PeerProcess,
     expires_at_ms: u64,
 }
 
-/// One group, as a borrower sees it.
+/// State of one group, as seen by a borrower.
 #[derive(Debug, Default)]
 struct CoordinatorLink {
     coordinator: Option<PeerProcess>,
     assigned: Option<ShareAssignment>,
-    /// The home's clock as it last told it.
+    /// The coordinator's clock as it last reported it.
     last_clock: Option<(PeerProcess, u64)>,
     serial: u64,
-    /// The last call that was answered or given up.
+    /// The last call that was answered or has failed.
     last_answered: u64,
-    /// When it was last called; 0 for never.
+    /// When the coordinator was last called; 0 for never.
     called_at_ms: u64,
     in_flight: bool,
     /// Whether requests wait for an answer.
     urgent: bool,
     backoff_until_ms: u64,
-    /// Part of the caps that the home lends, and when it said so.
+    /// Share of the quotas that the coordinator lends, and when it reported it.
     lendable_share: f64,
     updated_at_ms: u64,
 }
 
 impl CoordinatorLink {
-    /// Whether this daemon's part may be given to `home`.
+    /// Whether this daemon's share may be assigned to `coordinator`.
     fn may_assign_to(&self, coordinator: &PeerProcess, now: u64) -> bool {
         let assigned = self.assigned.as_ref();
-        assigned.is_none_or(|g| g.coordinator == *coordinator || now >= g.expires_at_ms)
+        assigned.is_none_or(|a| a.coordinator == *coordinator || now >= a.expires_at_ms)
     }
 
     fn assign_to(&mut self, coordinator: &PeerProcess, now: u64) {
@@ -84,7 +86,7 @@
     }
 }
 
-/// Caps by lending.
+/// Rate limiter that lends credit through a coordinator.
 pub struct LendingLimiter {
     local: PeerProcess,
     tolerance: Tolerance,
@@ -97,7 +99,7 @@
 }
 
 impl LendingLimiter {
-    /// Nothing is known yet.
+    /// Creates a limiter without quotas or known coordinators.
     pub fn new(local: PeerProcess, tolerance: Tolerance, now: u64) -> Self {
         Self {
             local,
@@ -111,7 +113,8 @@
         }
     }
 
-    /// This daemon's part of every cap; none while its number is not known.
+    /// This daemon's share of every quota; 0 while the number of daemons is not
+    /// known.
     fn share(&self) -> f64 {
         match (self.fleet.confirmed, self.fleet.members) {
             (false, _) | (_, 0) => 0.0,
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Settles `lines` with the own ledger of `group`, and gives it the own part,
-    /// if this daemon is the home.
+    /// Settles `lines` with the local ledger of `group`, and assigns the own
+    /// share to it, if this daemon is the coordinator.
     fn settle_locally(&mut self, group: &Name, lines: Vec<UsageLine>, now: u64) {
         let share = self.share();
         let Some(link) = self.links.get_mut(group) else {
@@ -167,7 +170,7 @@
         };
         let quotas = &self.quotas;
         ledger.answer(request, &self.local, &context, |w| {
-            quotas.get(w).map(|k| &k.quota)
+            quotas.get(w).map(|q| &q.quota)
         })
     }
 
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Takes credit where this daemon is the home itself.
+    /// Reserves credit where this daemon is the coordinator.
     fn reserve_locally(
         &mut self,
         workspace: &str,
@@ -223,13 +226,13 @@
     }
 }
 
-/// What a request that finds no credit is told, if there is nobody to ask.
+/// Refusal of a request that finds no credit when there is nobody to ask.
 fn refuse(link: &CoordinatorLink, credit: &CreditBalance, now: u64) -> ReserveOutcome {
     let retry_ms = credit.retry_after_ms(now).unwrap_or(0);
     if link.lendable_share >= QUORUM_SHARE {
         return ReserveOutcome::OverQuota { retry_ms };
     }
-    let expires_at_ms = link.assigned.as_ref().map_or(0, |g| g.expires_at_ms);
+    let expires_at_ms = link.assigned.as_ref().map_or(0, |a| a.expires_at_ms);
     ReserveOutcome::UsageUnknown {
         retry_ms: retry_ms.max(expires_at_ms.saturating_sub(now)),
     }
@@ -265,9 +268,10 @@
                 let was_local = link
                     .assigned
                     .as_ref()
-                    .is_some_and(|g| g.coordinator == self.local);
+                    .is_some_and(|a| a.coordinator == self.local);
                 if was_local && coordinator != self.local {
-                    // The own ledger forgets it at once, so another may have it.
+                    // The local ledger drops the share at once, so another
+                    // coordinator may have it.
                     link.assigned = None;
                     if let Some(ledger) = self.ledgers.get_mut(&group) {
                         ledger.revoke_share(&self.local.peer_addr);
@@ -318,8 +322,8 @@
 
     fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64 {
         let credit = self.credits.get(name);
-        let low = credit.filter(|p| p.balance() < size as f64);
-        low.and_then(|p| p.retry_after_ms(now)).unwrap_or(0)
+        let low = credit.filter(|c| c.balance() < size as f64);
+        low.and_then(|c| c.retry_after_ms(now)).unwrap_or(0)
     }
 
     fn has_surplus(&self, _name: &str, _now: u64) -> bool {
@@ -350,16 +354,17 @@
             if link.is_busy(now) {
                 continue;
             }
-            // The part is asked back from an earlier home, which may live on.
-            if let Some(assigned) = link.assigned.as_ref().filter(|g| {
-                now < g.expires_at_ms
-                    && g.coordinator != self.local
-                    && link.coordinator.as_ref() != Some(&g.coordinator)
+            // The share is revoked from an earlier coordinator, which may still
+            // be running.
+            if let Some(assigned) = link.assigned.as_ref().filter(|a| {
+                now < a.expires_at_ms
+                    && a.coordinator != self.local
+                    && link.coordinator.as_ref() != Some(&a.coordinator)
             }) {
                 due.push((group.clone(), assigned.coordinator.clone()));
                 continue;
             }
-            let Some(coordinator) = link.coordinator.as_ref().filter(|h| **h != self.local) else {
+            let Some(coordinator) = link.coordinator.as_ref().filter(|c| **c != self.local) else {
                 continue;
             };
             let elapsed_ms = now.saturating_sub(link.called_at_ms);
@@ -367,7 +372,7 @@
             let low = || {
                 self.credits
                     .iter()
-                    .any(|(w, p)| p.is_low(now) && in_group(w))
+                    .any(|(w, c)| c.is_low(now) && in_group(w))
             };
             let needs_credit = link.urgent && now >= link.backoff_until_ms;
             if needs_credit
@@ -447,14 +452,15 @@
             return;
         };
         if reply.boot != coordinator.boot {
-            // Another process answers there: the one that was meant has ended.
+            // Another process answers at this address: the one that was called
+            // has ended.
             let coordinator = coordinator.clone();
             self.process_ended(&coordinator);
             return;
         }
         link.backoff_until_ms = 0;
         if link.coordinator.as_ref() != Some(coordinator) {
-            // It no longer lends on this daemon's behalf.
+            // The coordinator no longer lends on this daemon's behalf.
             link.assigned = None;
             return;
         }
@@ -471,7 +477,7 @@
             if link
                 .assigned
                 .as_ref()
-                .is_some_and(|g| g.coordinator == *coordinator)
+                .is_some_and(|a| a.coordinator == *coordinator)
             {
                 link.assigned = None;
             }
@@ -481,7 +487,7 @@
     fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot {
         let placed = self.quotas.get(workspace);
         let credit = self.credits.get(workspace);
-        let link = placed.and_then(|k| self.links.get(&k.group));
+        let link = placed.and_then(|q| self.links.get(&q.group));
         QuotaSnapshot {
             rate: placed.map_or(0.0, |q| q.quota.rate),
             coordinator: link.and_then(|l| Some(l.coordinator.as_ref()?.peer_addr.clone())),
@@ -489,7 +495,7 @@
             lent: credit.map_or(0.0, CreditBalance::lent),
             age_ms: link.map_or(0, |l| now.saturating_sub(l.updated_at_ms)),
             balance: credit.map_or(0.0, CreditBalance::balance),
-            demand: credit.map_or(0.0, |p| p.demand_rate(now)),
+            demand: credit.map_or(0.0, |c| c.demand_rate(now)),
         }
     }
 
--- a/crates/comfreyhall-workspace/src/lib.rs
+++ b/crates/comfreyhall-workspace/src/lib.rs
@@ -1,13 +1,14 @@
-//! Who calls, and how much: workspaces, their keys, and their caps.
+//! Workspaces, their API keys, and their quotas.
 //!
-//! [`Workspaces`] is what a configuration says: which keys belong to which
-//! workspace, its rank, and how much it may use over all daemons together.
-//! Keys are known by their hashes only ([`key`]). A [`RateLimiter`] keeps the caps of
-//! one daemon together with those of the others; there are two of them,
-//! [`LendingLimiter`] and [`SharingLimiter`].
+//! [`Workspaces`] holds what a configuration says: which keys belong to which
+//! workspace, its rank, and how much it may use over all daemons together. Keys
+//! are stored only as hashes ([`key`]). A [`RateLimiter`] enforces quotas on
+//! one daemon in cooperation with the other daemons; there are three of them:
+//! [`LendingLimiter`] and [`SharingLimiter`] for the quotas of workspaces, and
+//! [`GrantingLimiter`] for the limits of targets.
 //!
-//! Everything here takes the time as an argument, in ms of a steady clock that
-//! counts suspended time, and touches no network.
+//! All functions take the time as an argument, in ms of a steady clock that
+//! includes time spent suspended, and perform no network I/O.
 
 mod demand;
 mod entry;
@@ -31,7 +32,7 @@
 pub use sharing::SharingLimiter;
 pub use workspace::{Allowance, Workspace, Workspaces};
 
-/// A shared immutable name.
+/// A shared, immutable string.
 pub type Name = std::sync::Arc<str>;
 
 #[cfg(test)]
--- a/crates/comfreyhall-workspace/src/limiter.rs
+++ b/crates/comfreyhall-workspace/src/limiter.rs
@@ -1,186 +1,195 @@
-//! Keeping caps together with the other daemons: what both ways have in common.
+//! Distributed rate limiting: what all limiters have in common.
 //!
-//! A daemon takes credit for a request before it sends it. Credit comes from
-//! the *home* of the request's workspace, one daemon that knows how much all of
-//! them use; daemons settle with homes every now and then, and whenever a
-//! request lacks credit. Workspaces are spread over groups, and each group has
-//! one home.
+//! A daemon reserves credit for a request before it sends it. Credit comes from
+//! the *coordinator* of the request's workspace, the one daemon that knows how
+//! much all daemons use. Daemons settle with coordinators periodically, and
+//! whenever a request lacks credit. Workspaces are distributed over groups, and
+//! each group has one coordinator.
 
 use comfreyhall_protocol::Map;
 
 use crate::{Name, Quota, Workspaces};
 
-/// One process of a daemon that others can reach.
+/// One process of a daemon, as its peers address it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PeerProcess {
-    /// Where it answers its peers.
+    /// Address on which it answers its peers.
     pub peer_addr: Name,
-    /// Which process.
+    /// Id of the process; a restart gets a new one.
     pub boot: u64,
 }
 
-/// The fleet as one daemon knows it.
+/// The fleet as seen by one daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FleetView {
-    /// Daemons that may serve requests, this one and those out of hearing among
-    /// them.
+    /// Number of daemons that may be serving requests, including this one and
+    /// those that are unreachable.
     pub members: usize,
-    /// Whether the platform's store, or somebody who had it from there, has told
-    /// this process who they are.
+    /// Whether the member list comes from the platform's store, directly or
+    /// through a peer that read it there.
     pub confirmed: bool,
-    /// Whether there may be members that this daemon has not heard of: nothing
-    /// was heard of the platform's store for long, not even through others.
+    /// Whether there may be members that this daemon does not know of: nothing
+    /// has been heard from the platform's store for long, not even through
+    /// peers.
     pub stale: bool,
 }
 
-/// What became of taking credit.
+/// Result of trying to reserve credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReserveOutcome {
-    /// It is reserved.
+    /// The credit is reserved.
     Granted,
-    /// The home may lend it: take again once it has answered this call, the
-    /// number of which counts for the group of the cap.
+    /// The coordinator may grant it: try again once it has answered the call
+    /// with this serial number, counted per group.
     Pending(u64),
-    /// The workspace is over its cap.
+    /// The workspace is over its quota.
     OverQuota {
-        /// Until so much is there again, in ms.
+        /// Delay until enough credit is available again, in ms.
         retry_ms: u64,
     },
-    /// Nobody in hearing knows how much the others use.
+    /// No reachable daemon knows how much the others use.
     UsageUnknown {
-        /// Until that may be known, in ms.
+        /// Delay until that may be known, in ms.
         retry_ms: u64,
     },
 }
 
-/// What a daemon tells of one workspace when it settles.
+/// One workspace's part of a [`SettleRequest`].
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UsageLine {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Credit that it has and no request holds.
+    /// Credit that the daemon holds and that no request has reserved.
     pub balance: f64,
-    /// Credit that requests hold which are not sent yet.
+    /// Credit reserved by requests that are not sent yet.
     pub reserved: f64,
-    /// Credit that it gives back with this.
+    /// Credit returned with this request.
     pub returned: f64,
     /// Credit that waiting requests lack.
     pub need: f64,
-    /// Credit that the first of them lacks.
+    /// Credit that the smallest waiting request lacks.
     pub min_need: f64,
-    /// Credit that it would like to have besides.
+    /// Credit to borrow ahead of demand, in addition.
     pub prefetch: f64,
-    /// Units a second asked of it.
+    /// Demand at this daemon, in units per second.
     pub demand: f64,
 }
 
-/// What a daemon tells the home of a group.
+/// What a daemon sends to the coordinator of a group.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SettleRequest {
-    /// Where the daemon answers its peers.
+    /// Address on which the daemon answers its peers.
     pub from: String,
-    /// Its process.
+    /// Id of the daemon's process.
     pub boot: u64,
-    /// Grows with each call of the process to this home.
+    /// Increases with each call of the process to this coordinator.
     pub serial: u64,
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// Part of every cap that the home may lend on its behalf.
+    /// Share of every quota that the coordinator may lend on the daemon's
+    /// behalf.
     pub share: f64,
-    /// The home's clock, as it last told it: the share holds from then.
+    /// The coordinator's clock as it last reported it; the term of the share
+    /// starts there.
     pub as_of: u64,
-    /// How long the share holds, in ms.
+    /// Term of the share, in ms.
     pub term_ms: u64,
-    /// Workspaces with something to tell.
+    /// Workspaces with something to report.
     pub lines: Vec<UsageLine>,
 }
 
-/// What a home answers of one workspace.
+/// One workspace's part of a [`SettleReply`].
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct GrantLine {
     /// The workspace.
     pub workspace: String,
-    /// Credit lent.
+    /// Credit granted.
     pub grant: f64,
-    /// When there is more for those that were refused, in ms; 0 if none was.
+    /// Delay until there is credit for the refused requests, in ms; 0 if none
+    /// was refused.
     pub retry_ms: u64,
-    /// Units a second asked of all other daemons.
+    /// Demand at all other daemons, in units per second.
     pub other_demand: f64,
-    /// Units lent to all in the last window.
+    /// Units lent to all daemons in the last window.
     pub lent: f64,
 }
 
-/// What a home answers.
+/// A coordinator's answer to a [`SettleRequest`].
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SettleReply {
-    /// The home's process.
+    /// Id of the coordinator's process.
     pub boot: u64,
-    /// Its clock.
+    /// The coordinator's clock, in ms.
     pub clock_ms: u64,
-    /// Part of every cap that it lends for all who settle with it.
+    /// Share of every quota that it lends on behalf of all daemons that settle
+    /// with it.
     pub lendable_share: f64,
-    /// In the order of the call's lines; none if a later call came before.
+    /// One line for each line of the request, in its order; empty if a later
+    /// request was handled before.
     pub lines: Vec<GrantLine>,
 }
 
-/// What a refusal rests on.
+/// What a limiter knew when it refused a request; for logs.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct QuotaSnapshot {
-    /// Units a second that the cap allows.
+    /// Rate of the quota, in units per second.
     pub rate: f64,
-    /// Who keeps the cap.
+    /// Address of the coordinator of the quota.
     pub coordinator: Option<Name>,
-    /// Part of the cap that it lends.
+    /// Share of the quota that it lends.
     pub lendable_share: f64,
-    /// Units that it lent to all in the last window.
+    /// Units that it lent to all daemons in the last window.
     pub lent: f64,
-    /// Ms since it said so.
+    /// Age of this information, in ms.
     pub age_ms: u64,
-    /// Credit here that no request holds.
+    /// Local credit that no request has reserved.
     pub balance: f64,
-    /// Units a second asked of this daemon.
+    /// Demand at this daemon, in units per second.
     pub demand: f64,
 }
 
-/// One daemon's part in keeping the caps.
+/// Enforces quotas on one daemon, in cooperation with its peers.
 pub trait RateLimiter: Send {
-    /// Takes over the workspaces of a new configuration, spread over `groups`.
+    /// Applies the workspaces of a new configuration, distributed over
+    /// `groups`.
     fn configure(&mut self, workspaces: &Workspaces, groups: &[Name], now: u64) {
         self.set_quotas(place_quotas(workspaces, groups), groups, now);
     }
 
-    /// Takes over the caps to keep, by name, and all groups.
+    /// Replaces the quotas to enforce, by name, and the list of groups.
     fn set_quotas(&mut self, quotas: Map<Name, PlacedQuota>, groups: &[Name], now: u64);
 
-    /// Takes over who is the home of each group, this daemon among them, and
-    /// the fleet.
+    /// Updates the coordinator of each group, which may be this daemon, and the
+    /// view of the fleet.
     fn update_fleet(&mut self, coordinators: &Map<Name, PeerProcess>, fleet: FleetView, now: u64);
 
-    /// A request of `size` units comes for `workspace`.
+    /// Records the arrival of a request of `size` units for `workspace`.
     fn record_demand(&mut self, workspace: &str, size: u64, now: u64);
 
-    /// Reserves `size` units for a request that came.
+    /// Tries to reserve `size` units for a request that has arrived.
     fn try_reserve(&mut self, workspace: &str, size: u64, now: u64) -> ReserveOutcome;
 
-    /// Ms until asking for `size` units is of use; 0 if it may be now.
+    /// Delay until it makes sense to ask for `size` units, in ms; 0 if it does
+    /// now.
     fn retry_after_ms(&self, name: &str, size: u64, now: u64) -> u64;
 
-    /// Whether this daemon knows that more could be used than is.
+    /// Whether this daemon knows that the quota is not fully used.
     fn has_surplus(&self, name: &str, now: u64) -> bool;
 
-    /// A request that holds credit is about to be sent.
+    /// A request with reserved credit is about to be sent.
     fn mark_sent(&mut self, workspace: &str, size: u64);
 
-    /// A request that holds credit will not be sent.
+    /// A request with reserved credit will not be sent.
     fn release_unsent(&mut self, workspace: &str, size: u64);
 
-    /// A request that was sent has surely not run, and will not be sent again.
+    /// A request that was sent has certainly not run, and will not be sent
+    /// again.
     fn refund(&mut self, workspace: &str, size: u64);
 
-    /// Homes to settle with now.
+    /// Coordinators to settle with now.
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)>;
 
-    /// What to tell `home` of `group`.
+    /// Builds the request to `coordinator` of `group`.
     fn settle_request(
         &mut self,
         group: &Name,
@@ -188,7 +197,8 @@
         now: u64,
     ) -> SettleRequest;
 
-    /// Answers a daemon, as a home; `met`: since when its address is known here.
+    /// Answers a daemon as coordinator. `known_since_ms`: since when its
+    /// address has been known here.
     fn handle_settle(
         &mut self,
         request: &SettleRequest,
@@ -196,7 +206,7 @@
         now: u64,
     ) -> SettleReply;
 
-    /// Takes in what `home` answered; `None` if it did not.
+    /// Applies the answer of `coordinator`; `None` if it did not answer.
     fn handle_reply(
         &mut self,
         group: &Name,
@@ -205,51 +215,53 @@
         now: u64,
     );
 
-    /// The last call to a home of `group` that was answered or given up.
+    /// Serial number of the last call to the coordinator of `group` that was
+    /// answered or has failed.
     fn last_answered(&self, group: &Name) -> u64;
 
-    /// The process `home` has ended.
+    /// The process `coordinator` has ended.
     fn process_ended(&mut self, coordinator: &PeerProcess);
 
-    /// What a refusal of `workspace` rests on.
+    /// What is known about the quota of `workspace`; for logs.
     fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot;
 
-    /// The group whose home keeps the cap of `workspace`.
+    /// The group whose coordinator keeps the quota of `workspace`.
     fn quota_group(&self, workspace: &str) -> Option<Name>;
 }
 
-/// The group of `groups` in which `workspace` has its home.
+/// Chooses the group among `groups` whose coordinator keeps the quota of
+/// `workspace`.
 ///
-/// Rendezvous hashing: all daemons agree without talking, and a group more or
-/// less moves only the workspaces that it had or gets.
+/// Rendezvous hashing: all daemons agree without communicating, and adding or
+/// removing a group moves only the workspaces that it gains or loses.
 pub fn coordinator_group<'a>(workspace: &str, groups: &'a [Name]) -> Option<&'a Name> {
     use std::hash::{Hash, Hasher};
     groups.iter().max_by_key(|group| {
         let mut hash = rustc_hash::FxHasher::default();
         workspace.hash(&mut hash);
         group.hash(&mut hash);
-        // The high bits are mixed best; ranks compare from the top.
+        // The high bits are mixed best, and comparison starts from the top.
         hash.finish().wrapping_mul(0x9E37_79B9_7F4A_7C15)
     })
 }
 
-/// A cap and where it is kept.
+/// A quota and the group that keeps it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacedQuota {
-    /// The cap.
+    /// The quota.
     pub quota: Quota,
-    /// The group whose home keeps it.
+    /// The group whose coordinator keeps it.
     pub group: Name,
 }
 
-/// The capped workspaces of `workspaces`, spread over `groups`.
+/// The workspaces in `workspaces` that have a quota, distributed over `groups`.
 pub(crate) fn place_quotas(workspaces: &Workspaces, groups: &[Name]) -> Map<Name, PlacedQuota> {
-    let capped = workspaces.all().iter().filter_map(|w| match w.allowance {
+    let limited = workspaces.all().iter().filter_map(|w| match w.allowance {
         crate::Allowance::Limited(quota) => {
             let group = coordinator_group(&w.name, groups)?.clone();
             Some((w.name.clone(), PlacedQuota { quota, group }))
         }
         _ => None,
     });
-    capped.collect()
+    limited.collect()
 }
--- a/crates/comfreyhall-workspace/src/sharing.rs
+++ b/crates/comfreyhall-workspace/src/sharing.rs
@@ -1,10 +1,11 @@
-//! Caps by sharing: each daemon has a part of every cap that follows its part
-//! of what is asked for.
+//! Quotas by sharing: each daemon has a share of every quota that follows its
+//! share of the demand.
 //!
-//! Daemons tell the home of a workspace what is asked of them, and hear what is
-//! asked of all others (flow-proportional shares). Nothing is asked when a
-//! request comes: a daemon spends its own part. Parts are as old as the last
-//! settlement, so they add up to the whole only while demand stands still.
+//! Daemons report their demand to the coordinator of a workspace and receive
+//! the demand at all other daemons (flow-proportional shares). No call is made
+//! when a request arrives: a daemon spends its own share. Shares are as old as
+//! the last settlement, so they add up to the whole quota only while demand is
+//! constant.
 
 use comfreyhall_protocol::Map;
 
@@ -13,20 +14,20 @@
     SettleReply, SettleRequest, Tolerance, UsageLine, demand::DemandRate, limiter::PlacedQuota,
 };
 
-/// Pause between two settlements with a home, in ms.
+/// Interval between two settlements with a coordinator, in ms.
 const SETTLE_INTERVAL_MS: u64 = 250;
 
-/// How long what a home or a daemon told counts, in ms.
+/// How long a report of a coordinator or a daemon stays valid, in ms.
 const REPORT_TTL_MS: u64 = 1_500;
 
-/// Least part of a cap, against an equal one: what the first request of a
-/// workspace finds.
+/// Minimum share of a quota, as a fraction of an equal share: it serves the
+/// first request of a workspace.
 const MIN_SHARE: f64 = 0.5;
 
-/// Part of the tolerance that may lie unused beyond the burst.
+/// Fraction of the tolerance that may be held unused beyond the burst.
 const UNUSED_FRACTION: f64 = 0.5;
 
-/// Ms of a cap's rate after which a refused caller should come back at least.
+/// Minimum delay before a refused client should retry, in ms.
 const MIN_RETRY_MS: u64 = 50;
 
 #[derive(Debug, Clone, Default)]
@@ -34,7 +35,8 @@
     balance: f64,
     credited_at_ms: u64,
     demand: DemandRate,
-    /// Units a second asked of the others, and when that was told.
+    /// Demand at the other daemons, in units per second, and when it was
+    /// reported.
     other_demand: f64,
     reported_at_ms: u64,
 }
@@ -46,10 +48,10 @@
     called_at_ms: u64,
 }
 
-/// Demand told by one daemon, and when.
+/// Demand reported by one daemon, and when.
 type DemandReport = (f64, u64);
 
-/// Caps by sharing.
+/// Rate limiter that divides quotas by demand.
 pub struct SharingLimiter {
     local: PeerProcess,
     tolerance: Tolerance,
@@ -57,12 +59,12 @@
     quotas: Map<Name, PlacedQuota>,
     links: Map<Name, CoordinatorLink>,
     shares: Map<Name, LocalShare>,
-    /// What each daemon told of each workspace, at its home.
+    /// Demand that each daemon reported for each workspace, at its coordinator.
     reports: Map<Name, Map<Name, DemandReport>>,
 }
 
 impl SharingLimiter {
-    /// Nothing is known yet.
+    /// Creates a limiter without quotas or known coordinators.
     pub fn new(local: PeerProcess, tolerance: Tolerance) -> Self {
         Self {
             local,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Part of the cap of a workspace that this daemon may use.
+    /// Share of a workspace's quota that this daemon may use.
     fn share(&self, local_share: &LocalShare, now: u64) -> f64 {
         let equal = 1.0 / self.fleet.members.max(1) as f64;
         if now.saturating_sub(local_share.reported_at_ms) > REPORT_TTL_MS {
@@ -87,7 +89,8 @@
         own_fraction.max(equal * MIN_SHARE)
     }
 
-    /// Credits what has come since.
+    /// Accrues credit since the last call and returns the local rate, in units
+    /// per second.
     fn accrue(&mut self, workspace: &str, now: u64) -> f64 {
         let Some(placed) = self.quotas.get(workspace) else {
             return 0.0;
@@ -96,11 +99,12 @@
             return 0.0;
         };
         let share = self.share(local_share, now);
-        let passed = now.saturating_sub(local_share.credited_at_ms) as f64 / 1_000.0;
+        let elapsed_s = now.saturating_sub(local_share.credited_at_ms) as f64 / 1_000.0;
         let max_balance = (placed.quota.burst
             + UNUSED_FRACTION * self.tolerance.tolerated_excess(&placed.quota))
             * share;
-        let balance = (local_share.balance + placed.quota.rate * share * passed).min(max_balance);
+        let balance =
+            (local_share.balance + placed.quota.rate * share * elapsed_s).min(max_balance);
         if let Some(local_share) = self.shares.get_mut(workspace) {
             local_share.balance = balance;
             local_share.credited_at_ms = now;
@@ -121,7 +125,7 @@
         reports.insert(from.into(), (demand, now));
     }
 
-    /// Settles with itself where this daemon is the home.
+    /// Settles locally if this daemon is the coordinator.
     fn settle_locally(&mut self, workspace: &str, now: u64) {
         let group = self.quotas.get(workspace).map(|q| q.group.clone());
         let coordinator = group.and_then(|g| self.links.get(&g)?.coordinator.clone());
@@ -131,7 +135,7 @@
         let own = self
             .shares
             .get(workspace)
-            .map_or(0.0, |p| p.demand.rate(now));
+            .map_or(0.0, |s| s.demand.rate(now));
         let local = self.local.peer_addr.clone();
         self.record_report(workspace, &local, own, now);
         let other_demand = self.other_demand(workspace, &local, now);
@@ -209,14 +213,19 @@
 
     fn due_settlements(&mut self, now: u64) -> Vec<(Name, PeerProcess)> {
         let due = self.links.iter().filter_map(|(group, link)| {
-            let coordinator = link.coordinator.as_ref().filter(|h| **h != self.local)?;
+            let coordinator = link.coordinator.as_ref().filter(|c| **c != self.local)?;
             let elapsed = now.saturating_sub(link.called_at_ms) >= SETTLE_INTERVAL_MS;
             elapsed.then(|| (group.clone(), coordinator.clone()))
         });
         due.collect()
     }
 
-    fn settle_request(&mut self, group: &Name, _home: &PeerProcess, now: u64) -> SettleRequest {
+    fn settle_request(
+        &mut self,
+        group: &Name,
+        _coordinator: &PeerProcess,
+        now: u64,
+    ) -> SettleRequest {
         let in_group = self.shares.iter().filter(|(w, _)| {
             let placed = self.quotas.get(*w);
             placed.is_some_and(|q| q.group == *group)
@@ -240,7 +249,12 @@
         }
     }
 
-    fn handle_settle(&mut self, request: &SettleRequest, _met: u64, now: u64) -> SettleReply {
+    fn handle_settle(
+        &mut self,
+        request: &SettleRequest,
+        _known_since_ms: u64,
+        now: u64,
+    ) -> SettleReply {
         for line in &request.lines {
             self.record_report(&line.workspace, &request.from, line.demand, now);
         }
@@ -260,7 +274,7 @@
     fn handle_reply(
         &mut self,
         _group: &Name,
-        _home: &PeerProcess,
+        _coordinator: &PeerProcess,
         reply: Option<&SettleReply>,
         now: u64,
     ) {
@@ -276,20 +290,20 @@
         u64::MAX
     }
 
-    fn process_ended(&mut self, _home: &PeerProcess) {}
+    fn process_ended(&mut self, _coordinator: &PeerProcess) {}
 
     fn snapshot(&self, workspace: &str, now: u64) -> QuotaSnapshot {
         let placed = self.quotas.get(workspace);
         let local_share = self.shares.get(workspace);
-        let link = placed.and_then(|k| self.links.get(&k.group));
+        let link = placed.and_then(|q| self.links.get(&q.group));
         QuotaSnapshot {
             rate: placed.map_or(0.0, |q| q.quota.rate),
             coordinator: link.and_then(|l| Some(l.coordinator.as_ref()?.peer_addr.clone())),
-            lendable_share: local_share.map_or(0.0, |p| self.share(p, now)),
+            lendable_share: local_share.map_or(0.0, |s| self.share(s, now)),
             lent: 0.0,
-            age_ms: local_share.map_or(0, |p| now.saturating_sub(p.reported_at_ms)),
-            balance: local_share.map_or(0.0, |p| p.balance),
-            demand: local_share.map_or(0.0, |p| p.demand.rate(now)),
+            age_ms: local_share.map_or(0, |s| now.saturating_sub(s.reported_at_ms)),
+            balance: local_share.map_or(0.0, |c| c.balance),
+            demand: local_share.map_or(0.0, |s| s.demand.rate(now)),
         }
     }
 
--- a/crates/comfreyhall-workspace/src/workspace.rs
+++ b/crates/comfreyhall-workspace/src/workspace.rs
@@ -9,26 +9,26 @@
 /// How much a workspace may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Allowance {
-    /// As much as it likes.
+    /// No quota.
     Unlimited,
-    /// Up to its cap.
+    /// Limited by a quota.
     Limited(Quota),
-    /// Nothing: its cap cannot be read.
+    /// Nothing, because its quota is invalid.
     Denied,
 }
 
-/// A customer's own part of the deployment.
+/// A customer's share of the deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Its name, as targets are told it.
+    /// Name, as sent to targets.
     pub name: Name,
-    /// Its rank, 0 first; `None` for that of the route.
+    /// Rank, 0 is first; `None` to use the priority of the route.
     pub rank: Option<u8>,
     /// How much it may use.
     pub allowance: Allowance,
 }
 
-/// All workspaces, and whose each key is.
+/// All workspaces, with an index by API key.
 #[derive(Debug, Clone)]
 pub struct Workspaces {
     hasher: KeyHasher,
@@ -54,7 +54,7 @@
         self.by_key.get(&self.hasher.hash(key.bytes()))
     }
 
-    /// All of them.
+    /// All workspaces.
     pub fn all(&self) -> &[Arc<Workspace>] {
         &self.all
     }
