--- a/crates/comfreyhall-workspace/src/key.rs
+++ b/crates/comfreyhall-workspace/src/key.rs
@@ -13,7 +13,6 @@
 use zeroize::Zeroizing;
 
 /// Bytes kept of a hash: a collision is expected only among about 2^64 keys.
-/// one half.
 const HASH_BYTES: usize = 16;
 
 /// Length of a salt, in bytes.
