--- a/crates/comfreyhall-node/src/bind/here.rs
+++ b/crates/comfreyhall-node/src/bind/here.rs
@@ -8,7 +8,7 @@
 use super::{Bind, Bound, Unbound};
 use crate::{
     choose::{self, Plan, Wish},
-    fleet::key_of,
+    fleet::adapter_key,
     flight::Stall,
     keeper::{self, Placed},
     leases,
@@ -28,7 +28,7 @@
     let plan = choose(node, &ask, &engine);
     let plan = plan.ok_or_else(|| Unbound::unplaced("no engine of the group can take it"))?;
     let first = ask.tried.is_empty() && node.policies().admission;
-    if first && admission::refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
+    if first && admission::should_refuse(plan.wait_ms, ask.left_ms, ask.aim_ms, ask.priority) {
         return Err(Unbound::TooLong(plan.wait_ms as u64));
     }
     if !plan.loads {
@@ -56,8 +56,8 @@
     let now = node.now();
     let groups = leases::groups(node).len();
     let mut view = node.view();
-    if view.asked(&key_of(adapter), groups, now) {
-        view.heat(adapter, now);
+    if view.count_bind(&adapter_key(adapter), groups, now) {
+        view.mark_hot(adapter, now);
     }
 }
 
@@ -91,7 +91,7 @@
     let mut view = node.view();
     let unread = choose::unread(&view, &ask.need, target);
     if let Some(adapter) = &ask.need.adapter {
-        view.prefixes.note(adapter, &ask.need.parts, target, now);
+        view.prefixes.record(adapter, &ask.need.parts, target, now);
     }
     let hot = ask.need.adapter.as_ref();
     let hot = hot.is_some_and(|a| view.is_hot(a, now));
@@ -113,18 +113,18 @@
     let limit = ask.limit_ms();
     // After the load the prompt is still to be read.
     let after = plan.wait_ms as u64;
-    let wish = keeper::Wish {
+    let wish = keeper::PlacementRequest {
         adapter: adapter.clone(),
-        picks: plan.picks.clone(),
+        candidates: plan.picks.clone(),
         version: plan.version,
         priority: u32::from(ask.priority),
-        aim_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
-        begin: Duration::from_millis(limit.min(PLACE_MS)),
-        limit: Duration::from_millis(limit),
+        objective_ms: ask.aim_ms.saturating_sub(ask.spent_ms + after),
+        start_timeout: Duration::from_millis(limit.min(PLACE_MS)),
+        total_timeout: Duration::from_millis(limit),
     };
     // Others count on the place that this request is about to hold.
     let waits = Stall::begin(node, &plan.target.id, &adapter, plan.tokens);
-    let placed = keeper::ensure(node, wish).await;
+    let placed = keeper::place_adapter(node, wish).await;
     drop(waits);
     placed.map_err(|e| Unbound::Unplaced {
         why: e.why,
--- a/crates/comfreyhall-node/src/bind/wire.rs
+++ b/crates/comfreyhall-node/src/bind/wire.rs
@@ -85,16 +85,21 @@
     match here::bind(node, ask).await {
         Ok(bound) => {
             let now = node.now();
-            let ahead = node.view().board.work(&bound.target, now).prefill + bound.unread;
+            let ahead = node
+                .view()
+                .board
+                .total_work(&bound.target, now)
+                .prefill_tokens
+                + bound.unread;
             let counted = Run {
                 target: bound.target.clone(),
                 group,
                 adapter,
-                unread: bound.unread,
-                ahead,
-                bound: now,
+                unread_tokens: bound.unread,
+                queued_tokens: ahead,
+                bound_at_ms: now,
             };
-            node.fleet.bound(node, &message.from, run, counted);
+            node.fleet.add_bound_run(node, &message.from, run, counted);
             BindReply {
                 target: bound.target.to_string(),
                 version: bound.version,
--- a/crates/comfreyhall-node/src/caps/settle.rs
+++ b/crates/comfreyhall-node/src/caps/settle.rs
@@ -5,7 +5,7 @@
 use comfreyhall_domain::{Map, Name};
 use comfreyhall_workspace::{FleetView, PeerProcess, SettleRequest};
 
-use super::{Caps, Of, me, refresh, wire};
+use super::{QuotaKind, Quotas, me, refresh, wire};
 use crate::{leases, node::Node, outbound};
 
 /// Pause between looks at which homes are due.
@@ -24,9 +24,9 @@
     tokio::spawn(async move {
         loop {
             outbound::sweep(&node);
-            for of in [Of::Workspaces, Of::Targets] {
+            for of in [QuotaKind::Workspaces, QuotaKind::Targets] {
                 refresh(&node, of);
-                let caps = node.caps_of(of);
+                let caps = node.quotas_of(of);
                 if caps.in_use() {
                     meet(&node, caps);
                     settle_due(&node, of);
@@ -46,7 +46,7 @@
     pub(super) fleet: FleetView,
 }
 
-fn meet(node: &Node, caps: &Caps) {
+fn meet(node: &Node, caps: &Quotas) {
     let groups = caps.state().groups.clone();
     let met = homes(node, caps.of, &groups);
     let now = node.now();
@@ -60,19 +60,19 @@
 ///
 /// Limits of targets rest on there being one home at a time, so where there are
 /// leases nobody stands in for their holders.
-pub(super) fn homes(node: &Node, of: Of, groups: &[Name]) -> Met {
+pub(super) fn homes(node: &Node, of: QuotaKind, groups: &[Name]) -> Met {
     let now = node.now();
-    let stands_in = of == Of::Workspaces || leases::groups(node).is_empty();
+    let stands_in = of == QuotaKind::Workspaces || leases::groups(node).is_empty();
     let first = |group: &Name| match node.fleet.first_for(group, now) {
         Some(peer) => Some(peer),
-        None => (of == Of::Targets).then(|| node.fleet.peer().into()),
+        None => (of == QuotaKind::Targets).then(|| node.fleet.peer_addr().into()),
     };
     let home = |group: &Name| match node.token(group) {
         Some(_) => Some(me(node)),
         None => {
             let peer = node.fleet.holder(group, now);
             let peer = peer.or_else(|| first(group).filter(|_| stands_in))?;
-            if *peer == *node.fleet.peer() {
+            if *peer == *node.fleet.peer_addr() {
                 return Some(me(node));
             }
             let boot = node.fleet.boot_of(&peer)?;
@@ -85,7 +85,7 @@
     let homes = groups.iter().filter_map(|g| Some((g.clone(), home(g)?)));
     let homes = homes.collect();
     let members = node.fleet.members(now);
-    let stale = node.view().book.in_force.age_ms(now) > STALE_MS;
+    let stale = node.view().records.settings_sync.age_ms(now) > STALE_MS;
     Met {
         homes,
         fleet: FleetView {
@@ -97,10 +97,10 @@
 }
 
 /// Calls the homes that are due.
-pub(super) fn settle_due(node: &Arc<Node>, of: Of) {
+pub(super) fn settle_due(node: &Arc<Node>, of: QuotaKind) {
     let now = node.now();
     let calls: Vec<(Name, PeerProcess, SettleRequest)> = {
-        let mut state = node.caps_of(of).state();
+        let mut state = node.quotas_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
@@ -117,14 +117,14 @@
 }
 
 /// Calls the home of `group`, whether or not it is due.
-pub(crate) fn tell_home(node: &Arc<Node>, of: Of, group: Name) {
+pub(crate) fn notify_coordinator(node: &Arc<Node>, of: QuotaKind, group: Name) {
     let now = node.now();
     let mut met = homes(node, of, std::slice::from_ref(&group));
     let Some(home) = met.homes.remove(&group).filter(|h| *h != me(node)) else {
         return;
     };
     let call = {
-        let mut state = node.caps_of(of).state();
+        let mut state = node.quotas_of(of).state();
         let Some(meter) = &mut state.meter else {
             return;
         };
@@ -133,7 +133,13 @@
     tokio::spawn(settle(node.clone(), of, group, home, call));
 }
 
-async fn settle(node: Arc<Node>, of: Of, group: Name, home: PeerProcess, call: SettleRequest) {
+async fn settle(
+    node: Arc<Node>,
+    of: QuotaKind,
+    group: Name,
+    home: PeerProcess,
+    call: SettleRequest,
+) {
     let reply = match node.fleet.client(&home.peer_addr) {
         Some(mut client) => {
             let answer = client.settle(wire::call(&node, of, &call));
@@ -153,7 +159,7 @@
         }
     };
     let now = node.now();
-    let caps = node.caps_of(of);
+    let caps = node.quotas_of(of);
     if let Some(meter) = &mut caps.state().meter {
         meter.handle_reply(&group, &home, reply.as_ref(), now);
         if ended {
--- a/crates/comfreyhall-node/src/fleet/hub.rs
+++ b/crates/comfreyhall-node/src/fleet/hub.rs
@@ -34,7 +34,7 @@
 const SUMMARY_MS: u64 = 100;
 
 /// Whether a fleet of `peers` reports to holders.
-pub(super) fn large(peers: usize) -> bool {
+pub(super) fn is_large(peers: usize) -> bool {
     peers > FANOUT
 }
 
@@ -146,15 +146,15 @@
 impl Fleet {
     /// Whether the fleet is so large that it reports to holders.
     pub(crate) fn large(&self) -> bool {
-        large(self.state().peers.len())
+        is_large(self.state().peers.len())
     }
 
     /// Whether a holder of leases, other than this daemon, tells it what is
     /// known in a large fleet.
     pub(crate) fn served(&self, node: &Node) -> bool {
-        let holding = node.leases.any(node.settings().bounds.fencing);
+        let holding = node.leases.holds_any(node.settings().bounds.fencing);
         let state = self.state();
-        large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
+        is_large(state.peers.len()) && !holding && state.heard(node.now()).any(|(_, p)| p.holds())
     }
 
     /// Adds what a holder tells in a large fleet to the answer for the daemon
@@ -177,11 +177,11 @@
             news.roster = roster.members.clone();
         }
         let but_own = |(id, total): &(Name, TargetTotal)| {
-            let own = view.board.told(id, &asker.id, now);
+            let own = view.board.peer_work(id, &asker.id, now);
             TargetTotal {
-                prefill: total.prefill.saturating_sub(own.prefill),
-                waiting: total.waiting.saturating_sub(own.waiting),
-                running: total.running.saturating_sub(own.running),
+                prefill: total.prefill.saturating_sub(own.prefill_tokens),
+                waiting: total.waiting.saturating_sub(own.waiting_tokens),
+                running: total.running.saturating_sub(own.requests),
                 ..total.clone()
             }
         };
@@ -199,13 +199,13 @@
         let held = |domain: &str| news.holdings.iter().any(|h| h.group == domain);
         let targets = view.targets.values().filter(|t| held(&t.failure_domain));
         let totals = targets.filter_map(|t| {
-            let work = view.board.told_by_all(&t.id, now);
+            let work = view.board.reported_work(&t.id, now);
             let adapters = used.get(&t.id).copied().unwrap_or(0);
             let total = TargetTotal {
                 target: t.id.to_string(),
-                prefill: work.prefill,
-                waiting: work.waiting,
-                running: work.running,
+                prefill: work.prefill_tokens,
+                waiting: work.waiting_tokens,
+                running: work.requests,
                 adapters,
             };
             (work != Work::default() || adapters > 0).then(|| (t.id.clone(), total))
@@ -220,7 +220,7 @@
     /// Takes in who is said to hold leases in a large fleet.
     pub(super) fn learn_holders(&self, holders: &[String], now: u64) {
         for addr in holders {
-            self.meet(addr, false);
+            self.add_peer(addr, false);
         }
         self.state().hint(holders, now);
     }
@@ -240,18 +240,18 @@
             news.totals.iter().map(|t| (t.target.as_str(), t)).collect();
         for id in targets {
             let work = totals.get(&*id).map_or(Work::default(), |t| Work {
-                prefill: t.prefill,
-                waiting: t.waiting,
-                running: t.running,
+                prefill_tokens: t.prefill,
+                waiting_tokens: t.waiting,
+                requests: t.running,
             });
-            view.board.total(&id, work, until);
+            view.board.set_others_work(&id, work, until);
         }
     }
 
     /// Counts the members of a holder's roster as alive.
     fn learn_roster(&self, from: &Daemon, news: &News, now: u64) {
         for member in &news.roster {
-            self.meet(&member.peer, false);
+            self.add_peer(&member.peer, false);
         }
         let mut state = self.state();
         let Some(holder) = state.peers.get_mut(from.peer.as_str()) else {
--- a/crates/comfreyhall-node/src/fleet/tests.rs
+++ b/crates/comfreyhall-node/src/fleet/tests.rs
@@ -6,8 +6,8 @@
 use crate::{
     facts::{self, Provenance},
     node::Node,
-    ports::{Fact, Facts, Topic},
-    quiet::node,
+    ports::{Record, RecordBatch, Topic},
+    test_node::node,
 };
 
 fn daemon(port: u16) -> Daemon {
@@ -45,7 +45,7 @@
 async fn learn_call_renews_no_roster() {
     let node = node();
     for port in 200..220 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let off = daemon(200);
     let named = |node: &Node| node.addresses().0.iter().any(|a| **a == *off.front);
@@ -72,9 +72,9 @@
 async fn news_for_answer_bears_no_known_roster() {
     let node = node();
     let peer = daemon(100).peer;
-    node.fleet.meet(&peer, false);
+    node.fleet.add_peer(&peer, false);
     for port in 200..220 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let roster = vec![daemon(100)];
     node.fleet
@@ -90,16 +90,21 @@
 #[test]
 fn settings_large_in_no_news() {
     let node = node();
-    let row = |key: &str, bytes: usize, version| Fact {
+    let row = |key: &str, bytes: usize, version| Record {
         key: key.into(),
         value: Some(vec![b' '; bytes].into()),
         version,
     };
-    let put = |fact: Fact| {
+    let put = |fact: Record| {
         let version = fact.version;
         let rows = vec![fact];
         let origin = Provenance::store(node.now());
-        facts::apply(&node, Topic::Settings, Facts { rows, version }, &origin);
+        facts::apply(
+            &node,
+            Topic::Settings,
+            RecordBatch { rows, version },
+            &origin,
+        );
     };
     let told = |settings_version, cut_off| {
         let ask = News {
@@ -128,7 +133,7 @@
 async fn own_news_behind_is_cut_off() {
     let node = node();
     let peer = daemon(100);
-    node.fleet.meet(&peer.peer, false);
+    node.fleet.add_peer(&peer.peer, false);
     let newer = News {
         settings_version: 9,
         ..news(0, Vec::new())
@@ -143,13 +148,18 @@
     assert!(!cut_off(now));
     let lag = node.settings().bounds.apply_ms / 3;
     assert!(cut_off(now + lag + 1));
-    let rows = vec![Fact {
+    let rows = vec![Record {
         key: "config".into(),
         value: Some(Vec::new().into()),
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(&node, Topic::Settings, Facts { rows, version: 9 }, &origin);
+    facts::apply(
+        &node,
+        Topic::Settings,
+        RecordBatch { rows, version: 9 },
+        &origin,
+    );
     assert!(!cut_off(now + lag + 2));
 }
 
@@ -160,13 +170,18 @@
 #[tokio::test]
 async fn push_rows_only_what_is_lacked() {
     let node = node();
-    let rows = vec![Fact {
+    let rows = vec![Record {
         key: "config".into(),
         value: Some(vec![b' '; 3_000].into()),
         version: 9,
     }];
     let origin = Provenance::store(node.now());
-    facts::apply(&node, Topic::Settings, Facts { rows, version: 9 }, &origin);
+    facts::apply(
+        &node,
+        Topic::Settings,
+        RecordBatch { rows, version: 9 },
+        &origin,
+    );
     let told = |settings_version| {
         let cut_off = News {
             cut_off: true,
@@ -214,7 +229,7 @@
 async fn learn_work_counts_until_next_report() {
     let node = node();
     for port in 1_000..1_194 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     let run = EngineRun {
         id: 7,
@@ -228,7 +243,13 @@
     };
     node.fleet.learn(&node, told, super::Origin::Call);
     let late = node.now() + super::hub::pace_ms(194) + super::PERIOD_MS;
-    assert_eq!(node.view().board.work(&"t".into(), late).prefill, 500);
+    assert_eq!(
+        node.view()
+            .board
+            .total_work(&"t".into(), late)
+            .prefill_tokens,
+        500
+    );
 }
 
 /// Symptom: one daemon held the leases of four domains out of five. Events: it
@@ -262,7 +283,7 @@
     assert!(!node.fleet.better("d", "127.0.0.1:202"));
     // In a large fleet a daemon with little processor is no better place.
     for port in 300..320 {
-        node.fleet.meet(&format!("127.0.0.1:{port}"), false);
+        node.fleet.add_peer(&format!("127.0.0.1:{port}"), false);
     }
     assert!(node.fleet.better("e", "127.0.0.1:200"), "both are weak");
 }
@@ -277,7 +298,7 @@
         heard_boot,
         ..news(0, Vec::new())
     };
-    let age = || node.view().book.in_force.age_ms(5_000);
+    let age = || node.view().records.settings_sync.age_ms(5_000);
     let boot = node.fleet.boot();
     // The last one says that the store told it before this start.
     for (echoed_at, heard_boot) in [(0, boot), (4_990, boot + 1), (9, boot)] {
@@ -306,7 +327,7 @@
         }],
         ..news(0, Vec::new())
     };
-    let newest = || node.view().book.in_force.newest();
+    let newest = || node.view().records.settings_sync.newest();
     node.fleet.learn(&node, told(9), super::Origin::Call);
     assert_eq!(newest(), 0);
     node.fleet.learn(&node, told(0), super::Origin::Answer);
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -8,14 +8,14 @@
 use std::{sync::Arc, time::Duration};
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Stage, Target};
-use comfreyhall_placement::engines_for;
-use comfreyhall_routing::pick::home_rank;
+use comfreyhall_placement::engines_needed;
+use comfreyhall_routing::selection::rendezvous_rank;
 
 use super::Job;
 use crate::{
-    fleet::parse_key,
+    fleet::parse_adapter_key,
     node::{Node, View},
-    outbound::Shut,
+    outbound::UnavailableTargets,
 };
 
 /// Pause between looks: half of the time in which news comes in.
@@ -28,7 +28,7 @@
         loop {
             tokio::time::sleep(PERIOD).await;
             let wanted = node.policies().early_copies;
-            if wanted && node.leases.any(node.settings().bounds.fencing) {
+            if wanted && node.leases.holds_any(node.settings().bounds.fencing) {
                 order(&node);
             }
         }
@@ -43,13 +43,15 @@
         let in_use = node.fleet.in_use(now);
         due(&view, &in_use, now)
     };
-    let shut = Shut::now(node, now);
+    let unavailable = UnavailableTargets::current(node, now);
     for copy in due {
-        if node.token(&copy.target.failure_domain).is_none() || shut.loads(&copy.target.id) {
+        if node.token(&copy.target.failure_domain).is_none()
+            || unavailable.blocks_loads(&copy.target.id)
+        {
             continue;
         }
         let id = &copy.target.id;
-        let Some(jobs) = node.keepers.jobs().get(id).cloned() else {
+        let Some(jobs) = node.controllers.jobs().get(id).cloned() else {
             continue;
         };
         let job = Job::ahead(copy.adapter, 0, now);
@@ -70,26 +72,26 @@
 /// Engines whose places are all in use come last: a copy ordered there waits,
 /// and the queues that it is to relieve grow meanwhile.
 fn due(view: &View, in_use: &Map<Name, Vec<AdapterRef>>, now: u64) -> Vec<Due> {
-    let cost_ms = view.board.reading_ms(view.prompt_tokens);
+    let cost_ms = view.board.read_duration_ms(view.mean_prompt);
     let mut out = Vec::new();
-    for (key, rate) in view.rush.rates(now) {
-        let needed = engines_for(rate, cost_ms);
+    for (key, rate) in view.fast_demand.rates(now) {
+        let needed = engines_needed(rate, cost_ms);
         if needed < 2 {
             continue;
         }
-        let Some(adapter) = parse_key(&key).filter(|a| a.adapter.is_some()) else {
+        let Some(adapter) = parse_adapter_key(&key).filter(|a| a.adapter.is_some()) else {
             continue;
         };
-        let held = view.residency.copies(&adapter);
+        let held = view.residency.copy_count(&adapter);
         let mut homes: Vec<_> = view
             .targets
             .values()
             .filter(|t| t.stage == Stage::Ready && t.has_model(&adapter.model))
-            .filter(|t| view.residency.version(&adapter, &t.id).is_none())
+            .filter(|t| view.residency.held_version(&adapter, &t.id).is_none())
             .map(|t| {
                 let used = in_use.get(&t.id).map_or(0, Vec::len);
-                let full = used as u32 >= view.places(t);
-                ((full, home_rank(&key, &t.id)), t)
+                let full = used as u32 >= view.adapter_slots(t);
+                ((full, rendezvous_rank(&key, &t.id)), t)
             })
             .collect();
         homes.sort_by_key(|(rank, _)| *rank);
--- a/crates/comfreyhall-node/src/keeper/load.rs
+++ b/crates/comfreyhall-node/src/keeper/load.rs
@@ -1,14 +1,14 @@
 //! Adapters into places: which job next, which adapter goes, when it is there.
 
 use comfreyhall_domain::AdapterRef;
-use comfreyhall_placement::{Occupant, victim};
-use comfreyhall_routing::Standing;
+use comfreyhall_placement::{EvictionCandidate, select_victim};
+use comfreyhall_routing::Presence;
 
 use super::{Coming, Hold, Job, Keeper, LOOK_MS, Placed, STUCK_MS, finish};
 use crate::{
-    fleet::key_of,
-    node::Named,
-    ports::{Action, OrderReply},
+    fleet::adapter_key,
+    node::NamedVersion,
+    ports::{Action, CommandReply},
 };
 
 /// Adapters on their way to one engine at once, as engines allow.
@@ -39,10 +39,10 @@
             }
             // An order that holds already says so, and costs less than a report.
             match self.order(Action::Load, &adapter, version).await {
-                OrderReply::Holds => self.loaded(&adapter),
-                OrderReply::Accepted => self.still_coming(&adapter),
-                OrderReply::Conflict | OrderReply::Silent(_) | OrderReply::Unsent => {}
-                OrderReply::Fenced | OrderReply::Gone | OrderReply::Invalid => {
+                CommandReply::Holds => self.loaded(&adapter),
+                CommandReply::Accepted => self.still_coming(&adapter),
+                CommandReply::Conflict | CommandReply::Silent(_) | CommandReply::Unsent => {}
+                CommandReply::Fenced | CommandReply::Gone | CommandReply::Invalid => {
                     if let Some(coming) = self.take_coming(&adapter) {
                         finish(coming.done, Err("the engine no longer loads it".into()));
                     }
@@ -60,7 +60,7 @@
         if now.saturating_sub(coming.ordered) > STUCK_MS
             && let Some(coming) = self.take_coming(adapter)
         {
-            log::warn!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter); "load is stuck");
+            log::warn!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter); "load is stuck");
             finish(coming.done, Err("the load is stuck".into()));
             self.synced = false;
         }
@@ -73,7 +73,7 @@
             return;
         };
         let took = now.saturating_sub(coming.ordered);
-        self.node.keepers.learn(coming.recent, took, now);
+        self.node.controllers.learn(coming.recent, took, now);
         let Some(coming) = self.take_coming(adapter) else {
             return;
         };
@@ -83,15 +83,16 @@
             since: now,
         };
         self.held.insert(adapter.clone(), hold);
-        let standing = Standing::Held(version);
+        let standing = Presence::Held(version);
         let mut view = self.node.view();
-        view.residency.note(adapter, &self.target.id, standing, now);
+        view.residency
+            .record(adapter, &self.target.id, standing, now);
         drop(view);
         self.node
             .fleet
-            .placed(&self.target.id, adapter, Some(version));
-        self.node.metrics.load(coming.recent);
-        log::info!(target: "keeper", id:% = self.target.id, adapter:% = key_of(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
+            .record_placement(&self.target.id, adapter, Some(version));
+        self.node.metrics.adapter_load(coming.recent);
+        log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(adapter), version, recent = coming.recent, queued = coming.queued, blocked = coming.blocked, ms = took; "adapter loaded");
         finish(coming.done, Ok(self.placed(version)));
     }
 
@@ -110,12 +111,12 @@
         let grace = self.node.settings().bounds.version_ms / RENEW_PART;
         let in_use = self.node.fleet.in_use_at(&self.target.id, now);
         let outdated = newer.into_iter().filter(|(adapter, named)| {
-            let due = now.saturating_sub(named.learned) >= grace;
+            let due = now.saturating_sub(named.learned_ms) >= grace;
             due || !in_use.contains(adapter)
         });
         let outdated: Vec<(AdapterRef, u64, f64)> = {
             let view = self.node.view();
-            let score = |a: &AdapterRef| view.demand.score(&key_of(a), now);
+            let score = |a: &AdapterRef| view.demand.score(&adapter_key(a), now);
             outdated
                 .map(|(a, named)| (a.clone(), named.version, score(&a)))
                 .collect()
@@ -124,7 +125,7 @@
             if !self.synced || !self.unload(&adapter).await {
                 return;
             }
-            log::info!(target: "keeper", id:% = self.target.id, adapter:% = key_of(&adapter), version, score; "outdated adapter dropped");
+            log::info!(target: "keeper", id:% = self.target.id, adapter:% = adapter_key(&adapter), version, score; "outdated adapter dropped");
             if score >= RENEW_SCORE {
                 self.queue.push(Job::ahead(adapter, version, now));
             }
@@ -132,10 +133,10 @@
     }
 
     /// Adapters here of which a newer version was named.
-    fn newer(&self) -> Vec<(AdapterRef, Named)> {
+    fn newer(&self) -> Vec<(AdapterRef, NamedVersion)> {
         let view = self.node.view();
         let newer = self.held.iter().filter_map(|(adapter, hold)| {
-            let named = view.named.get(adapter)?;
+            let named = view.named_versions.get(adapter)?;
             (named.version > hold.version).then(|| (adapter.clone(), *named))
         });
         newer.collect()
@@ -179,13 +180,13 @@
             return Some("report");
         }
         let now = self.node.now();
-        if now.saturating_sub(job.waiting.since) < job.extra_ms {
+        if now.saturating_sub(job.waiting.arrived_ms) < job.extra_ms {
             return Some("turn");
         }
         // Another engine loads it for somebody else, and serves this one too
         // once it looks at its queue; that takes no second load.
         let among = job.ticket.as_ref().map_or(&[][..], |t| t.among());
-        let keepers = &self.node.keepers;
+        let keepers = &self.node.controllers;
         if keepers.loads_elsewhere(&job.adapter, &self.target.id, among) {
             return Some("elsewhere");
         }
@@ -194,11 +195,12 @@
         }
         let recent = {
             let view = self.node.view();
-            view.residency.recent(&job.adapter, &self.target.id, now)
+            view.residency
+                .likely_cached(&job.adapter, &self.target.id, now)
         };
         // What the engine has at hand does not come from the weight store.
         let window = self.node.policies().load_window;
-        (window && !recent && self.node.keepers.store_full()).then_some("weight store")
+        (window && !recent && self.node.controllers.store_full()).then_some("weight store")
     }
 
     /// This engine holds `version`.
@@ -213,53 +215,58 @@
         let now = self.node.now();
         let (version, recent) = {
             let view = self.node.view();
-            let named = view.named.get(&job.adapter).map_or(0, |n| n.version);
-            let recent = view.residency.recent(&job.adapter, &self.target.id, now);
+            let named = view
+                .named_versions
+                .get(&job.adapter)
+                .map_or(0, |n| n.version);
+            let recent = view
+                .residency
+                .likely_cached(&job.adapter, &self.target.id, now);
             (named.max(job.version), recent)
         };
         let done = job.claim();
         let target = self.target.id.clone();
-        self.node.keepers.begin_load(&job.adapter, &target);
+        self.node.controllers.begin_load(&job.adapter, &target);
         let reply = self.order(Action::Load, &job.adapter, version).await;
-        if reply != OrderReply::Accepted {
-            self.node.keepers.end_load(&job.adapter, &target);
+        if reply != CommandReply::Accepted {
+            self.node.controllers.end_load(&job.adapter, &target);
         }
         match reply {
-            OrderReply::Accepted => {
+            CommandReply::Accepted => {
                 let now = self.node.now();
-                let expected = self.node.keepers.load_ms(recent);
+                let expected = self.node.controllers.expected_load_ms(recent);
                 let coming = Coming {
                     version,
                     ordered: now,
                     look: now + ((expected * FIRST_LOOK) as u64).max(LOOK_MS),
                     recent,
-                    queued: now.saturating_sub(job.waiting.since),
+                    queued: now.saturating_sub(job.waiting.arrived_ms),
                     blocked: job.blocked,
                     done: done.into_iter().collect(),
                 };
                 self.add_coming(job.adapter, coming);
                 None
             }
-            OrderReply::Holds => {
+            CommandReply::Holds => {
                 let since = self.node.now();
                 self.held.insert(job.adapter, Hold { version, since });
                 let placed = self.placed(version);
                 finish(done, Ok(placed));
                 None
             }
-            OrderReply::Conflict => {
+            CommandReply::Conflict => {
                 job.yield_to_others(done);
                 Some(job)
             }
             // Another engine may answer sooner than this one is understood.
-            OrderReply::Silent(_)
-            | OrderReply::Fenced
-            | OrderReply::Invalid
-            | OrderReply::Unsent => {
+            CommandReply::Silent(_)
+            | CommandReply::Fenced
+            | CommandReply::Invalid
+            | CommandReply::Unsent => {
                 job.yield_to_others(done);
                 None
             }
-            OrderReply::Gone => {
+            CommandReply::Gone => {
                 if let Some(ticket) = &job.ticket {
                     ticket.note_gone(&target);
                 }
@@ -284,7 +291,7 @@
     }
 
     pub(super) fn places(&self) -> usize {
-        self.node.view().places(&self.target) as usize
+        self.node.view().adapter_slots(&self.target) as usize
     }
 
     pub(super) fn choose_victim(&self) -> Option<AdapterRef> {
@@ -292,15 +299,15 @@
         let pinned = self.node.fleet.in_use_at(&self.target.id, now);
         let view = self.node.view();
         let unused = self.held.iter().filter(|(a, _)| !pinned.contains(*a));
-        let occupants: Vec<Occupant<AdapterRef>> = unused
-            .map(|(adapter, hold)| Occupant {
-                score: view.demand.score(&key_of(adapter), now),
-                copies: view.residency.copies(adapter).saturating_sub(1),
+        let occupants: Vec<EvictionCandidate<AdapterRef>> = unused
+            .map(|(adapter, hold)| EvictionCandidate {
+                score: view.demand.score(&adapter_key(adapter), now),
+                other_copies: view.residency.copy_count(adapter).saturating_sub(1),
                 pins: 0,
                 age_ms: now.saturating_sub(hold.since),
                 key: adapter.clone(),
             })
             .collect();
-        victim(&occupants).map(|o| o.key.clone())
+        select_victim(&occupants).map(|o| o.key.clone())
     }
 }
--- a/crates/comfreyhall-node/src/keeper/mod.rs
+++ b/crates/comfreyhall-node/src/keeper/mod.rs
@@ -25,13 +25,13 @@
 };
 
 use comfreyhall_domain::{AdapterRef, Map, Name, Target};
-use comfreyhall_placement::{Ceiling, Waiting, Window};
+use comfreyhall_placement::{LoadRateLimit, LoadWindow, QueuedRequest};
 use tokio::sync::mpsc;
 
 use self::ticket::{Done, Ticket};
 pub(crate) use self::{
-    ticket::{Placed, Unplaced},
-    wish::{Pick, Wish, ensure},
+    ticket::{Placed, PlacementError},
+    wish::{EngineCandidate, PlacementRequest, place_adapter},
 };
 use crate::node::Node;
 
@@ -68,7 +68,7 @@
     adapter: AdapterRef,
     /// Least version that will do; 0 for any.
     version: u64,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     /// Who waits for it; `None` for a load that nobody waits for yet.
     ticket: Option<Arc<Ticket>>,
     /// Ms more than at the best engine that serving it here would take.
@@ -85,10 +85,10 @@
         Self {
             adapter,
             version,
-            waiting: Waiting {
+            waiting: QueuedRequest {
                 priority: 0,
-                since: now,
-                aim: now + STUCK_MS,
+                arrived_ms: now,
+                start_by_ms: now + STUCK_MS,
             },
             ticket: None,
             extra_ms: 0,
@@ -125,19 +125,19 @@
 }
 
 /// All keepers of this daemon.
-pub(crate) struct Keepers {
+pub(crate) struct EngineControllers {
     jobs: Mutex<Map<Name, mpsc::Sender<Job>>>,
     /// Engines to which each adapter is on its way.
     loading: Mutex<Map<AdapterRef, Vec<Name>>>,
     /// Loads on their way from the weight store.
     coming: AtomicU32,
-    window: Mutex<Window>,
+    window: Mutex<LoadWindow>,
     /// Model loads begun lately.
-    models: Mutex<Ceiling>,
+    models: Mutex<LoadRateLimit>,
     times: Mutex<[f64; 2]>,
 }
 
-impl Default for Keepers {
+impl Default for EngineControllers {
     fn default() -> Self {
         Self {
             jobs: Mutex::default(),
@@ -150,8 +150,8 @@
     }
 }
 
-impl Keepers {
-    fn window(&self) -> MutexGuard<'_, Window> {
+impl EngineControllers {
+    fn window(&self) -> MutexGuard<'_, LoadWindow> {
         self.window.lock().expect("no holder of this lock panics")
     }
 
@@ -163,11 +163,11 @@
     /// Whether a model load may begin now.
     fn model_may_load(&self, rate: f64, part: f64, now: u64) -> bool {
         let mut models = self.models.lock().expect("no holder of this lock panics");
-        models.begin(rate, part, now)
+        models.try_start(rate, part, now)
     }
 
     /// Expected ms of a load.
-    pub(crate) fn load_ms(&self, recent: bool) -> f64 {
+    pub(crate) fn expected_load_ms(&self, recent: bool) -> f64 {
         let times = self.times.lock().expect("no holder of this lock panics");
         times[usize::from(recent)]
     }
@@ -175,7 +175,7 @@
     fn learn(&self, recent: bool, took: u64, now: u64) {
         if !recent {
             let full = self.store_full();
-            self.window().ended(took, full, now);
+            self.window().record_load(took, full, now);
         }
         let mut times = self.times.lock().expect("no holder of this lock panics");
         let time = &mut times[usize::from(recent)];
@@ -231,13 +231,13 @@
             {
                 let mut view = node.view();
                 view.demand.prune(FORGOTTEN_SCORE, now);
-                view.rush.prune(FORGOTTEN_SCORE, now);
-                view.asked.prune(FORGOTTEN_SCORE, now);
+                view.fast_demand.prune(FORGOTTEN_SCORE, now);
+                view.bind_demand.prune(FORGOTTEN_SCORE, now);
             }
             let ours = engines(&node).into_iter();
             let ours = ours.filter(|t| node.token(&t.failure_domain).is_some());
             let ours: Vec<Arc<Target>> = ours.collect();
-            node.keepers.window().open(ours.len());
+            node.controllers.window().init_for(ours.len());
             for target in &ours {
                 start(&node, target);
             }
@@ -262,7 +262,7 @@
 }
 
 fn start(node: &Arc<Node>, target: &Arc<Target>) {
-    let mut jobs = node.keepers.jobs();
+    let mut jobs = node.controllers.jobs();
     if jobs.get(&target.id).is_some_and(|j| !j.is_closed()) {
         return;
     }
@@ -320,7 +320,7 @@
 }
 
 /// Tells all who wait how it ended.
-fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, Unplaced>) {
+fn finish(waiting: impl IntoIterator<Item = Done>, result: Result<Placed, PlacementError>) {
     for done in waiting {
         // Whoever waited may have left.
         let _ = done.send(result.clone());
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -40,7 +40,7 @@
     let mut listed = None;
     let began = node.now();
     let mut failures = 0;
-    while !node.leaving() {
+    while !node.draining() {
         let now = node.now();
         // Whoever has met the others need not look for them right away.
         let met = now.saturating_sub(began) < period_ms(&node) && node.fleet.size(now) > 1;
@@ -87,7 +87,7 @@
 /// of those that start together ask, and the others hear it from them.
 fn unsure(node: &Node, now: u64) -> bool {
     let size = node.fleet.size(now);
-    node.caps.in_use()
+    node.quotas.in_use()
         && node.fleet.members(now).is_none()
         && rand::rng().random_range(0..size) < ASKERS
 }
@@ -107,11 +107,11 @@
     let now = node.now();
     for row in found {
         let addr = row.key.strip_prefix(PREFIX).unwrap_or_default();
-        if node.fleet.lost(addr, now) && node.fleet.first(now) {
+        if node.fleet.is_lost(addr, now) && node.fleet.has_lowest_addr(now) {
             log::info!(target: "members", addr; "row of a lost daemon dropped");
             rows.commit(Vec::new(), vec![delete(&row.key)]).await?;
         } else {
-            node.fleet.meet(addr, false);
+            node.fleet.add_peer(addr, false);
         }
     }
     node.fleet.listed();
--- a/crates/comfreyhall-node/src/serve/caller.rs
+++ b/crates/comfreyhall-node/src/serve/caller.rs
@@ -5,7 +5,7 @@
 
 use super::{Job, NOT_READY_MS, Reply};
 use crate::{
-    caps::{self, Of, Refused},
+    caps::{self, QuotaError, QuotaKind},
     node::Node,
 };
 
@@ -86,7 +86,11 @@
     /// for longer than their bound.
     fn settings_may_lag(&self) -> bool {
         let bound = self.settings().bounds.apply_ms;
-        let verdict = self.view().book.in_force.freshness(self.now(), bound);
+        let verdict = self
+            .view()
+            .records
+            .settings_sync
+            .freshness(self.now(), bound);
         verdict == Freshness::Stale
     }
 
@@ -96,7 +100,7 @@
             return false;
         };
         let now = self.now();
-        self.view().book.in_force.age_ms(now) > most
+        self.view().records.settings_sync.age_ms(now) > most
     }
 
     /// The answer to a request that is not taken; one line for each, but for a
@@ -104,15 +108,15 @@
     pub(super) fn turn_away(&self, ask: &ClientRequest, config: u64, why: Turned) -> Reply {
         let (reply, refusal) = match why {
             Turned::NoRoute => (Reply::NoRoute, "no route"),
-            Turned::NoKey => (Reply::NoKey, "unknown key"),
+            Turned::NoKey => (Reply::UnknownKey, "unknown key"),
             Turned::Unsure => {
                 let retry_ms = NOT_READY_MS;
                 (Reply::NotReady { retry_ms }, "newer settings may allow it")
             }
         };
         self.metrics.refusal(refusal);
-        if let Some(left_out) = self.flood.turned.take(self.now()) {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
+        if let Some(left_out) = self.log_limits.turned.take(self.now()) {
+            let basis = Basis::of(&self.view().records.settings_sync, self.now());
             log::info!(target: "serve", id:% = ask.id, config, left_out, why = refusal, row = basis.row, from = basis.from, held = basis.held, age = basis.age, newer = basis.newer, away = basis.away; "turned away");
         }
         reply
@@ -128,7 +132,7 @@
             Allowance::Denied => {
                 return Some(self.refuse_credit(
                     0,
-                    Refused::Over {
+                    QuotaError::Exceeded {
                         retry_ms: CLOSED_MS,
                     },
                 ));
@@ -138,8 +142,8 @@
         let tokens = self.ask.tokens;
         let tokens = tokens.map(|t| u64::from(t.prompt) + u64::from(t.max_output));
         let size = cap.cost(tokens);
-        self.node.caps.catch_up(&self.node, config);
-        match caps::reserve(&self.node, Of::Workspaces, &workspace.name, size).await {
+        self.node.quotas.sync_config(&self.node, config);
+        match caps::reserve(&self.node, QuotaKind::Workspaces, &workspace.name, size).await {
             Ok(credit) => {
                 self.credit = Some(credit);
                 None
@@ -149,13 +153,13 @@
     }
 
     /// The final answer to a request without credit, at once.
-    fn refuse_credit(&mut self, size: u64, why: Refused) -> Reply {
+    fn refuse_credit(&mut self, size: u64, why: QuotaError) -> Reply {
         self.ended = true;
         let now = self.node.now();
         let workspace = self.caller.workspace().map_or("", |w| &*w.name).to_string();
         let (reason, over, retry_ms) = match why {
-            Refused::Over { retry_ms } => ("over its cap", true, retry_ms),
-            Refused::Unsure { retry_ms } => ("its use is not known", false, retry_ms),
+            QuotaError::Exceeded { retry_ms } => ("over its cap", true, retry_ms),
+            QuotaError::Unknown { retry_ms } => ("its use is not known", false, retry_ms),
         };
         let retry_ms = self.retry_ms(retry_ms as f64);
         let answer = match over {
@@ -163,10 +167,10 @@
             false => Answer::NotRun { retry_ms },
         };
         self.node.metrics.refusal(reason);
-        self.node.metrics.workspace(&workspace, reason);
+        self.node.metrics.workspace_refusal(&workspace, reason);
         self.node.metrics.request(self.route.kind, answer.name());
-        if let Some(left_out) = self.node.flood.capped.take(now) {
-            let basis = self.node.caps.basis(&workspace, now);
+        if let Some(left_out) = self.node.log_limits.capped.take(now) {
+            let basis = self.node.quotas.basis(&workspace, now);
             let home = basis.coordinator.as_deref().unwrap_or("");
             // Whole units a second, and per cent.
             let (cap, lent, demand) = (basis.rate as u64, basis.lent as u64, basis.demand as u64);
@@ -211,7 +215,7 @@
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, why, sends = self.verdict.sends, held; "given up");
         match self.verdict.may_have_run {
             true => Reply::Unanswered(answer_for(&self.verdict, false, 0)),
-            false => Reply::NoKey,
+            false => Reply::UnknownKey,
         }
     }
 
@@ -220,7 +224,7 @@
         if let Some(credit) = self.credit.take()
             && !self.verdict.may_have_run
         {
-            credit.give_back();
+            credit.refund();
         }
     }
 }
--- a/crates/comfreyhall-node/src/serve/mod.rs
+++ b/crates/comfreyhall-node/src/serve/mod.rs
@@ -21,7 +21,7 @@
     answer_for,
 };
 use comfreyhall_quarantine::Fingerprint;
-use comfreyhall_routing::{Budget, admission};
+use comfreyhall_routing::{RetryBudget, admission};
 use futures::Stream;
 use http::{HeaderMap, StatusCode};
 use rand::Rng;
@@ -30,8 +30,8 @@
 use crate::{
     caps::Credit,
     choose::{self, Need, Plan, Wish},
-    fleet::key_of,
-    node::{Node, Tracked},
+    fleet::adapter_key,
+    node::{InFlightGuard, Node},
     quarantine::Trial,
     stop,
 };
@@ -70,11 +70,11 @@
     NoRoute,
     /// The caller's key belongs to nobody: the request has not run and never
     /// will.
-    NoKey,
+    UnknownKey,
     /// No target answered.
     Unanswered(Answer),
     /// A target's whole answer.
-    Whole {
+    Complete {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -83,7 +83,7 @@
         body: Bytes,
     },
     /// A target's stream.
-    Events {
+    Stream {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -126,7 +126,7 @@
     arrivals: u32,
     /// A failure of a target, to be passed on if nothing better comes.
     spare: Option<(StatusCode, HeaderMap, Bytes)>,
-    pub(crate) tracked: Option<Tracked>,
+    pub(crate) tracked: Option<InFlightGuard>,
     /// Ms spent on waiting for adapters to be placed.
     pub(crate) stall: u64,
     /// Ms from arrival to the first event.
@@ -156,8 +156,8 @@
     pub async fn serve(self: &Arc<Self>, ask: ClientRequest) -> Reply {
         let tracked = self.track();
         let Some(config) = self.config().filter(|_| self.life_known()) else {
-            let basis = Basis::of(&self.view().book.in_force, self.now());
-            log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.age(); "refused: nothing is known yet");
+            let basis = Basis::of(&self.view().records.settings_sync, self.now());
+            log::info!(target: "serve", id:% = ask.id, row = basis.row, newer = basis.newer, away = basis.away, up = self.uptime_ms(); "refused: nothing is known yet");
             return Reply::NotReady {
                 retry_ms: NOT_READY_MS,
             };
@@ -169,7 +169,7 @@
         let Some(mut job) = Job::new(self, &config, ask, route, caller) else {
             return Reply::NoRoute;
         };
-        if !stop::takes(self, job.limit) {
+        if !stop::accepts(self, job.limit) {
             job.ended = true;
             log::info!(target: "serve", id:% = job.ask.id, route:% = job.route.name; "refused: the stop is near its end");
             return Reply::NotReady {
@@ -241,7 +241,7 @@
 
     /// `model/adapter`, for the log.
     pub(crate) fn adapter(&self) -> Name {
-        self.ask.adapter.as_ref().map_or("".into(), key_of)
+        self.ask.adapter.as_ref().map_or("".into(), adapter_key)
     }
 
     pub(crate) fn left(&self) -> u64 {
@@ -337,7 +337,7 @@
 
     /// Whether a wait of `wait_ms` would be too long for it.
     fn refuses(&self, wait_ms: f64) -> bool {
-        admission::refuse(wait_ms, self.left(), self.route.objective_ms, self.rank)
+        admission::should_refuse(wait_ms, self.left(), self.route.objective_ms, self.rank)
     }
 
     /// Whether it may only go where it was sent before.
@@ -361,7 +361,7 @@
     }
 
     fn hold_end(&self) -> u64 {
-        let most = admission::hold_ms(self.limit - self.began, self.route.objective_ms);
+        let most = admission::max_hold_ms(self.limit - self.began, self.route.objective_ms);
         self.began + most
     }
 
@@ -372,17 +372,17 @@
         let mut view = self.node.view();
         let budget = view.budgets.entry(self.service.clone()).or_insert_with(|| {
             let window = (bounds.retry_s * 1_000.0) as u64;
-            Budget::new(window, bounds.retry_ratio, bounds.retry_allowance)
+            RetryBudget::new(window, bounds.retry_ratio, bounds.retry_allowance)
         });
-        budget.request(now);
+        budget.record_request(now);
         if let Some(adapter) = self.ask.adapter.as_ref().filter(|a| a.adapter.is_some()) {
-            let key = key_of(adapter);
-            view.wanted(&key, 1, now);
+            let key = adapter_key(adapter);
+            view.count_demand(&key, 1, now);
             if let Some(tokens) = self.ask.tokens {
-                view.prompt(tokens.prompt);
+                view.observe_prompt(tokens.prompt);
             }
             drop(view);
-            self.node.fleet.demand(&key);
+            self.node.fleet.record_demand(&key);
         }
     }
 
@@ -392,9 +392,9 @@
         let daemons = self.node.fleet.size(now);
         let mut view = self.node.view();
         let budget = view.budgets.get_mut(&self.service);
-        let granted = budget.is_some_and(|b| b.repeat(now, daemons));
+        let granted = budget.is_some_and(|b| b.try_retry(now, daemons));
         drop(view);
-        self.node.metrics.repeat(granted);
+        self.node.metrics.retry(granted);
         granted
     }
 
@@ -456,7 +456,7 @@
     ];
     match promises.contains(&status) {
         true => Reply::Unanswered(Answer::Unknown),
-        false => Reply::Whole {
+        false => Reply::Complete {
             status,
             headers,
             body,
--- a/crates/comfreyhall-node/src/serve/place.rs
+++ b/crates/comfreyhall-node/src/serve/place.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use comfreyhall_domain::{AdapterRef, Name};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 
 use super::{Job, LOOK_MS, send::UNREACHED_MS};
 use crate::{
     bind::{self, Bind, Bound, Unbound},
     choose::Plan,
-    fleet::key_of,
+    fleet::adapter_key,
     flight::Seat,
 };
 
@@ -33,7 +33,7 @@
         let now = self.node.now();
         let view = self.node.view();
         let known = view.targets.get(&plan.target.id);
-        known.is_some_and(|t| view.takes(t, &self.service, now))
+        known.is_some_and(|t| view.accepts(t, &self.service, now))
     }
 
     /// Has the holder of the planned group choose the engine, which becomes
@@ -46,7 +46,7 @@
             return Found::Engine;
         }
         let began = self.node.now();
-        let run = self.node.fleet.next_run();
+        let run = self.node.fleet.next_run_id();
         let mut found = bind::bind(&self.node, self.wanted(plan, run, plan.loads)).await;
         if found == Err(Unbound::MustWait) {
             found = bind::bind(&self.node, self.wanted(plan, run, true)).await;
@@ -54,7 +54,7 @@
         let stall = self.node.now() - began;
         if plan.loads {
             self.stall += stall;
-            self.node.metrics.stall(stall);
+            self.node.metrics.load_stall(stall);
         }
         match found {
             Ok(bound) => self.bound(plan, &adapter, run, bound, stall),
@@ -102,11 +102,11 @@
         let now = self.node.now();
         let mut view = self.node.view();
         if adapter.adapter.is_some() {
-            let standing = Standing::Held(bound.version);
-            view.residency.note(adapter, &bound.target, standing, now);
+            let standing = Presence::Held(bound.version);
+            view.residency.record(adapter, &bound.target, standing, now);
         }
         if bound.hot {
-            view.heat(adapter, now);
+            view.mark_hot(adapter, now);
         }
         let Some(target) = view.targets.get(&bound.target).cloned() else {
             log::info!(target: "serve", id:% = self.ask.id, target_id:% = bound.target; "the engine found is not known here yet");
@@ -134,13 +134,13 @@
     }
 
     async fn unplaced(&mut self, plan: &Plan, adapter: &AdapterRef, why: Unbound) {
-        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = key_of(adapter), why:%; "no engine found");
+        log::info!(target: "serve", id:% = self.ask.id, group:% = plan.target.failure_domain, adapter:% = adapter_key(adapter), why:%; "no engine found");
         self.close_group(&plan.target.failure_domain);
         if let Unbound::Unplaced { gone, .. } = why {
             let until = self.node.now() + UNREACHED_MS;
             for target in gone {
                 // Every other request would ask for a place there too.
-                self.node.view().dead.insert(target, until);
+                self.node.view().unavailable_until.insert(target, until);
             }
         }
         // All were closed: begin again rather than give up early.
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use comfreyhall_domain::{Name, Outcome, Refusal, RouteKind};
-use comfreyhall_routing::Standing;
+use comfreyhall_routing::Presence;
 use futures::StreamExt;
 use http::{HeaderMap, StatusCode};
 
@@ -12,8 +12,8 @@
 use crate::{
     choose::{self, Plan},
     flight::{Flight, Seat},
-    outbound::{self, Permit, Shut},
-    ports::{Body, Broken, Extra, Response, SendError},
+    outbound::{self, Permit, UnavailableTargets},
+    ports::{Body, BodyError, Response, SendError, SendOptions},
     relay::Relay,
 };
 
@@ -71,19 +71,19 @@
     /// Ms until one of its targets may take something, if none does now.
     pub(super) fn shut_ms(&self) -> Option<u64> {
         let now = self.node.now();
-        let shut = Shut::now(&self.node, now);
-        let ready = self.node.view().ready(&self.service, now);
-        shut.all_ms(ready.iter().map(|t| &t.id))
+        let unavailable = UnavailableTargets::current(&self.node, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
+        unavailable.all_ms(ready.iter().map(|t| &t.id))
     }
 
     /// One line on why none of its targets takes anything, but for a flood of them.
     pub(super) fn tell_shut(&self) {
         let now = self.node.now();
-        let Some(left_out) = self.node.flood.shut.take(now) else {
+        let Some(left_out) = self.node.log_limits.shut.take(now) else {
             return;
         };
-        let ready = self.node.view().ready(&self.service, now);
-        let targets = outbound::why_shut(&self.node, &ready, now);
+        let ready = self.node.view().ready_targets(&self.service, now);
+        let targets = outbound::describe_unavailable(&self.node, &ready, now);
         log::info!(target: "serve", id:% = self.ask.id, route:% = self.route.name, targets, left_out; "targets take nothing");
     }
 
@@ -94,22 +94,22 @@
         permit: Permit,
         last_event: Option<u64>,
     ) -> Result<(Response, Flight), ()> {
-        let extra = Extra {
-            left_ms: self.left(),
-            expect: plan.expect,
+        let options = SendOptions {
+            timeout_ms: self.left(),
+            required_version: plan.expect,
             priority: self.rank,
             workspace: self.caller.workspace().map(|w| w.name.clone()),
             last_event,
         };
         if let Some(credit) = &mut self.credit {
-            credit.sent();
+            credit.mark_sent();
         }
         let adapter = self.ask.adapter.clone().filter(|_| self.engine.is_some());
         let seat = self.seat(plan);
         let flight = Flight::begin(&self.node, &plan.target, adapter, plan.tokens, seat);
         let patience = Duration::from_millis(self.patience(plan));
         let ask = self.ask.clone();
-        match outbound::send(&self.node, &plan.target, permit, ask, extra, patience).await {
+        match outbound::send(&self.node, &plan.target, permit, ask, options, patience).await {
             Ok(response) => {
                 self.arrive(&plan.target.id);
                 Ok((response, flight))
@@ -118,11 +118,14 @@
                 self.verdict.record(Outcome::NotSent);
                 flight.note(false, UNREACHED_WEIGHT);
                 let until = self.node.now() + UNREACHED_MS;
-                self.node.view().dead.insert(plan.target.id.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(plan.target.id.clone(), until);
                 self.tell(&plan.target.id, "not sent", &why);
                 Err(())
             }
-            Err(SendError::Closed(why)) => {
+            Err(SendError::ConnectionClosed(why)) => {
                 self.arrive(&plan.target.id);
                 self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
@@ -130,7 +133,7 @@
                 self.tell(&plan.target.id, "in doubt", &why);
                 Err(())
             }
-            Err(SendError::Doubt(why)) => {
+            Err(SendError::Indeterminate(why)) => {
                 self.arrive(&plan.target.id);
                 self.verdict.record(Outcome::Indeterminate);
                 flight.note(false, FAILED_WEIGHT);
@@ -144,7 +147,7 @@
     /// own if it goes there unasked; none at a target that is no engine.
     fn seat(&self, plan: &mut Plan) -> Option<Seat> {
         let own = || {
-            let run = self.node.fleet.next_run();
+            let run = self.node.fleet.next_run_id();
             Seat::new(&self.node, run, plan.target.clone())
         };
         self.engine.as_ref()?;
@@ -176,13 +179,13 @@
             self.refused(refusal, &flight, &plan);
             return Next::Again;
         }
-        if response.status.is_success() && !response.genuine {
+        if response.status.is_success() && !response.verified {
             self.verdict.record(Outcome::Indeterminate);
             flight.note(false, FAILED_WEIGHT);
             self.tell(&flight.target, "in doubt", "the answer is not a target's");
             return Next::Again;
         }
-        if response.status.is_success() && response.events {
+        if response.status.is_success() && response.event_stream {
             return self.relay(response, flight, plan).await;
         }
         let (status, headers) = (response.status, response.headers);
@@ -196,10 +199,10 @@
             broken => {
                 let why = match broken {
                     Ok(Err(broken)) => {
-                        if broken.closed {
+                        if broken.connection_closed {
                             self.broke(&flight);
                         }
-                        broken.why
+                        broken.reason
                     }
                     _ => "its time is up".to_string(),
                 };
@@ -218,11 +221,15 @@
         match (refusal, &self.ask.adapter) {
             (Refusal::WrongTarget, Some(adapter)) => {
                 let mut view = self.node.view();
-                view.residency.note(adapter, target, Standing::Absent, now);
+                view.residency
+                    .record(adapter, target, Presence::Absent, now);
             }
             (Refusal::WrongTarget, None) => {
                 let until = now + UNREACHED_MS;
-                self.node.view().dead.insert(target.clone(), until);
+                self.node
+                    .view()
+                    .unavailable_until
+                    .insert(target.clone(), until);
             }
             (Refusal::Full, _) => {
                 self.full += 1;
@@ -255,12 +262,12 @@
                     let mut view = self.node.view();
                     let target = &plan.target.id;
                     view.prefixes
-                        .note(adapter, &self.ask.prompt_segments, target, now);
+                        .record(adapter, &self.ask.prompt_segments, target, now);
                 }
                 let job = self.take();
-                self.node.metrics.first(job.first);
+                self.node.metrics.first_event(job.first);
                 let body = relay.run(job);
-                Next::Reply(Reply::Events {
+                Next::Reply(Reply::Stream {
                     status,
                     headers,
                     body,
@@ -323,7 +330,7 @@
         flight.note(ok, FAILED_WEIGHT);
         if ok {
             let took = flight.took();
-            self.node.view().board.learn_took(&flight.target, took);
+            self.node.view().board.record_duration(&flight.target, took);
         }
         self.verdict.record(Outcome::Answered);
         self.ran_whole();
@@ -372,7 +379,7 @@
 }
 
 /// A whole body, or why it broke off.
-async fn collect(mut body: Body) -> Result<Bytes, Broken> {
+async fn collect(mut body: Body) -> Result<Bytes, BodyError> {
     let mut out = BytesMut::new();
     while let Some(piece) = body.next().await {
         out.extend_from_slice(&piece?);
