--- a/crates/comfreyhall-workspace/tests/calm.rs
+++ b/crates/comfreyhall-workspace/tests/calm.rs
@@ -1,55 +1,63 @@
-//! Caps in a fleet where nothing fails: what is admitted, and of whom.
+//! Quotas in a fleet without failures: how much is admitted, and for which
+//! workspace.
 
 mod fleet;
 
-use fleet::{Way, World, cap};
+use fleet::{Policy, World, quota};
 
-/// Ms until daemons know each other and the burst is there.
+/// Time until the daemons know each other and the burst has accrued, in ms.
 const START_MS: u64 = 14_000;
 
-/// A large and a small workspace, in tokens a second.
+/// Quotas of a large and a small workspace, in tokens per second.
 const LARGE: f64 = 200_000.0;
 const SMALL: f64 = 4_200.0;
 
-fn world(way: Way, seed: u64) -> World {
-    let mut world = World::new(way, 24, vec![cap(LARGE), cap(SMALL)], seed);
+fn world(policy: Policy, seed: u64) -> World {
+    let mut world = World::new(policy, 24, vec![quota(LARGE), quota(SMALL)], seed);
     world.run(START_MS);
     world
 }
 
-/// Guards against refusing what lies below a cap.
+/// Guards against refusing demand below the quota.
 #[test]
-fn take_usual_demand_is_admitted() {
+fn try_reserve_demand_below_quota_is_admitted() {
     for seed in 0..2 {
-        let mut world = world(Way::Lending, seed);
+        let mut world = world(Policy::Lending, seed);
         world.demand = vec![0.55, 0.55];
         world.run(30_000);
         for workspace in 0..2 {
-            let refused = world.refused[workspace] + world.unsure[workspace];
+            let refused = world.refused[workspace] + world.unknown[workspace];
             let part = refused as f64 / world.asked[workspace] as f64;
             assert!(part < 0.01, "seed {seed}, workspace {workspace}: {part}");
         }
     }
 }
 
-/// Guards against caps that bind late or waste what they allow.
+/// Guards against quotas that take effect late or waste part of what they
+/// allow.
 #[test]
-fn take_six_times_the_cap_gets_the_cap() {
+fn try_reserve_six_times_quota_gets_quota() {
     for seed in 0..2 {
-        let mut world = world(Way::Lending, seed);
+        let mut world = world(Policy::Lending, seed);
         world.demand = vec![6.0, 0.55];
         world.run(4_000);
         for _ in 0..3 {
             let from = world.now;
             world.run(8_000);
-            // What the cap allows in a window: the rate, and the burst.
-            let part = world.ran(0, from, world.now) / (LARGE * 8.0 + LARGE);
+            // What the quota allows in a window: the rate, and the burst.
+            let part = world.units_run(0, from, world.now) / (LARGE * 8.0 + LARGE);
             assert!((0.95..=1.0).contains(&part), "seed {seed}: {part}");
         }
-        let (most, allowed) = world.worst(0);
-        assert!(most <= allowed, "seed {seed}: {most} of {allowed}");
-        let other = world.refused[1] + world.unsure[1];
-        let part = other as f64 / world.asked[1] as f64;
-        assert!(part < 0.01, "seed {seed}: {part} of the other refused");
+        let (max_units, allowed) = world.worst_window(0);
+        assert!(
+            max_units <= allowed,
+            "seed {seed}: {max_units} of {allowed}"
+        );
+        let small_refused = world.refused[1] + world.unknown[1];
+        let part = small_refused as f64 / world.asked[1] as f64;
+        assert!(
+            part < 0.01,
+            "seed {seed}: {part} of the small_refused refused"
+        );
     }
 }
--- a/crates/comfreyhall-workspace/tests/fleet/mod.rs
+++ b/crates/comfreyhall-workspace/tests/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of daemons that keep caps together, in simulated time.
+//! A fleet of daemons that enforce quotas together, in simulated time.
 //!
-//! One [`World`] has the truth: who is up, who reaches whom, who holds the lease
-//! of each group, which cap is in force, and every run. Its daemons know what
-//! their meters were told.
+//! One [`World`] holds the actual state: which daemons are up, which can reach
+//! each other, who holds the lease of each group, which quota is active, and
+//! every run. Its daemons know only what their limiters were told.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -19,17 +19,19 @@
 /// Length of a step of simulated time, in ms.
 pub const STEP_MS: u64 = 50;
 
-/// Until a daemon that is not heard of counts as gone, in ms.
-const SILENT_MS: u64 = 1_400;
+/// Time until a daemon that is not heard from counts as gone, in ms.
+const PEER_TIMEOUT_MS: u64 = 1_400;
 
-/// Until a daemon that has started reads who there is in the store, in ms.
-const LIST_MS: u64 = 500;
+/// Time until a started daemon reads the member list from the store, in ms.
+const LIST_DELAY_MS: u64 = 500;
 
-/// Until the store's silence makes what is known old, in ms.
+/// Time without contact to the store after which information counts as stale,
+/// in ms.
 const STALE_MS: u64 = 10_000;
 
-/// Longest from credit to arrival of a request that holds it, in ms.
-const WAIT_MS: u64 = 400;
+/// Maximum time from reserving credit until the request arrives at its target,
+/// in ms.
+const MAX_SEND_DELAY_MS: u64 = 400;
 
 pub const GROUPS: [&str; 2] = ["east", "west"];
 
@@ -39,16 +41,16 @@
     slack: 17_000.0,
 };
 
-/// How far the requests at a limited target may lie above its limit.
+/// How far the requests at a limited target may exceed its limit.
 pub const LIMIT_TOLERANCE: Tolerance = Tolerance {
     window_ms: 4_000,
     overshoot: 0.5,
     slack: 5.0,
 };
 
-/// Which way is played.
+/// The rate limiter to simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Policy {
     Lending,
     Sharing,
     Granting,
@@ -63,45 +65,46 @@
     boot: u64,
 }
 
-/// A call that a frozen home has not read yet.
-struct Unread {
-    home: usize,
-    call: SettleRequest,
+/// A settle request that a frozen coordinator has not read yet.
+struct UnreadRequest {
+    coordinator: usize,
+    request: SettleRequest,
 }
 
-/// What daemons that reach each other know together.
+/// Information that all daemons of one network partition share.
 #[derive(Default)]
-struct Told {
+struct SideKnowledge {
     known: BTreeSet<usize>,
-    certain: bool,
-    store: u64,
+    confirmed: bool,
+    store_heard_at: u64,
     version: usize,
 }
 
 struct Daemon {
-    meter: Box<dyn RateLimiter>,
+    limiter: Box<dyn RateLimiter>,
     peer: Name,
     boot: u64,
     up: bool,
-    frozen_until: u64,
+    frozen_until_ms: u64,
     side: usize,
-    began: u64,
+    started_at_ms: u64,
     known: BTreeSet<usize>,
-    /// Since when each is known.
-    met: Map<usize, u64>,
-    /// Whether the store, or somebody who knew it from there, has told who
-    /// there is.
-    certain: bool,
-    /// When each other was last heard of.
-    heard: Map<usize, u64>,
-    /// When the store was last heard of, also through others.
-    store: u64,
-    /// Which configuration is known here, and which one its meter has.
+    /// Since when each other daemon has been known.
+    known_since: Map<usize, u64>,
+    /// Whether the member list comes from the store, directly or through a
+    /// peer.
+    confirmed: bool,
+    /// When each other daemon was last heard from.
+    heard_at: Map<usize, u64>,
+    /// When the store was last heard from, also through peers.
+    store_heard_at: u64,
+    /// The configuration version that is known here, and the one that the
+    /// limiter has.
     version: usize,
     applied: usize,
 }
 
-/// A run at a target.
+/// A request that ran at a target.
 pub struct Run {
     pub at: u64,
     pub workspace: usize,
@@ -110,53 +113,59 @@
 
 pub struct World {
     pub now: u64,
-    way: Way,
+    policy: Policy,
     tolerance: Tolerance,
-    /// Sizes of requests, in units.
+    /// Range of request sizes, in units.
     sizes: Range<u64>,
-    /// Calls to homes, and lines in them.
-    pub calls: u64,
-    pub lines: u64,
+    /// Settle requests made, and usage lines in them.
+    pub requests_made: u64,
+    pub usage_lines: u64,
     rng: SmallRng,
     daemons: Vec<Daemon>,
     holders: [usize; 2],
-    /// Caps of each version of the configuration, and from when on it holds.
+    /// Quotas of each configuration version, and the time from which it is
+    /// active.
     configs: Vec<(u64, Vec<Quota>)>,
-    /// When all daemons last came to have each version.
-    settled: Vec<Option<u64>>,
+    /// When all daemons first had each version.
+    fully_applied_at: Vec<Option<u64>>,
     store_side: usize,
-    loss: f64,
+    loss_rate: f64,
     sent: Vec<Sent>,
-    unread: Vec<Unread>,
+    unread: Vec<UnreadRequest>,
     pub runs: Vec<Run>,
     pub refused: Vec<u64>,
-    pub unsure: Vec<u64>,
+    pub unknown: Vec<u64>,
     pub asked: Vec<u64>,
-    /// Demand of each workspace, against its cap.
+    /// Demand of each workspace, relative to its quota.
     pub demand: Vec<f64>,
-    /// Daemons that get the requests; all if it is empty.
-    pub focus: Vec<usize>,
+    /// Daemons that receive the requests; all if it is empty.
+    pub busy_daemons: Vec<usize>,
 }
 
-fn meter(way: Way, tolerance: Tolerance, home: PeerProcess, now: u64) -> Box<dyn RateLimiter> {
-    match way {
-        Way::Lending => Box::new(LendingLimiter::new(home, tolerance, now)),
-        Way::Sharing => Box::new(SharingLimiter::new(home, tolerance)),
-        Way::Granting => Box::new(GrantingLimiter::new(home)),
+fn limiter(
+    policy: Policy,
+    tolerance: Tolerance,
+    coordinator: PeerProcess,
+    now: u64,
+) -> Box<dyn RateLimiter> {
+    match policy {
+        Policy::Lending => Box::new(LendingLimiter::new(coordinator, tolerance, now)),
+        Policy::Sharing => Box::new(SharingLimiter::new(coordinator, tolerance)),
+        Policy::Granting => Box::new(GrantingLimiter::new(coordinator)),
     }
 }
 
-fn peer_of(at: usize) -> Name {
-    format!("10.0.0.{at}:1").into()
+fn peer_of(id: usize) -> Name {
+    format!("10.0.0.{id}:1").into()
 }
 
-fn workspaces(caps: &[Quota]) -> Workspaces {
-    let entries = caps.iter().enumerate().map(|(at, cap)| WorkspaceEntry {
-        name: format!("w{at}"),
+fn workspaces(quotas: &[Quota]) -> Workspaces {
+    let entries = quotas.iter().enumerate().map(|(id, quota)| WorkspaceEntry {
+        name: format!("w{id}"),
         unit: RawUnit::Tokens,
         default_tokens: RawNumber::Number(200.0),
-        rate: RawNumber::Number(cap.rate),
-        burst: RawNumber::Number(cap.burst),
+        rate: RawNumber::Number(quota.rate),
+        burst: RawNumber::Number(quota.burst),
         ..WorkspaceEntry::default()
     });
     let hasher = KeyHasher::new(Salt::new([7; 32]));
@@ -165,7 +174,7 @@
     workspaces
 }
 
-pub fn cap(rate: f64) -> Quota {
+pub fn quota(rate: f64) -> Quota {
     Quota {
         unit: QuotaUnit::Tokens {
             default_tokens: 200,
@@ -175,7 +184,7 @@
     }
 }
 
-/// A target's limit, in requests a second.
+/// A target's limit, in requests per second.
 pub fn limit(rate: f64) -> Quota {
     Quota {
         unit: QuotaUnit::Requests,
@@ -185,47 +194,47 @@
 }
 
 impl World {
-    /// A fleet that keeps the caps of workspaces, counted in tokens.
-    pub fn new(way: Way, daemons: usize, caps: Vec<Quota>, seed: u64) -> Self {
-        Self::with(way, TOLERANCE, 400..4_800, daemons, caps, seed)
+    /// A fleet that enforces quotas of workspaces, counted in tokens.
+    pub fn new(policy: Policy, daemons: usize, quotas: Vec<Quota>, seed: u64) -> Self {
+        Self::build(policy, TOLERANCE, 400..4_800, daemons, quotas, seed)
     }
 
-    /// A fleet that keeps the limits of targets, counted in requests.
-    pub fn limits(way: Way, daemons: usize, caps: Vec<Quota>, seed: u64) -> Self {
-        Self::with(way, LIMIT_TOLERANCE, 1..2, daemons, caps, seed)
+    /// A fleet that enforces limits of targets, counted in requests.
+    pub fn with_limits(policy: Policy, daemons: usize, quotas: Vec<Quota>, seed: u64) -> Self {
+        Self::build(policy, LIMIT_TOLERANCE, 1..2, daemons, quotas, seed)
     }
 
-    fn with(
-        way: Way,
+    fn build(
+        policy: Policy,
         tolerance: Tolerance,
         sizes: Range<u64>,
         daemons: usize,
-        caps: Vec<Quota>,
+        quotas: Vec<Quota>,
         seed: u64,
     ) -> Self {
-        let count = caps.len();
+        let count = quotas.len();
         let mut world = Self {
             now: 1,
-            way,
+            policy,
             tolerance,
             sizes,
-            calls: 0,
-            lines: 0,
+            requests_made: 0,
+            usage_lines: 0,
             rng: SmallRng::seed_from_u64(seed),
             daemons: Vec::new(),
             holders: [0, 1],
-            configs: vec![(0, caps)],
-            settled: vec![Some(0)],
+            configs: vec![(0, quotas)],
+            fully_applied_at: vec![Some(0)],
             store_side: 0,
-            loss: 0.0,
+            loss_rate: 0.0,
             sent: Vec::new(),
             unread: Vec::new(),
             runs: Vec::new(),
             refused: vec![0; count],
-            unsure: vec![0; count],
+            unknown: vec![0; count],
             asked: vec![0; count],
             demand: vec![0.0; count],
-            focus: Vec::new(),
+            busy_daemons: Vec::new(),
         };
         for _ in 0..daemons {
             world.add();
@@ -233,94 +242,94 @@
         world
     }
 
-    pub fn size(&self) -> usize {
+    pub fn daemon_count(&self) -> usize {
         self.daemons.len()
     }
 
-    /// Adds a daemon, which knows of the first one only.
+    /// Adds a daemon that knows only of the first one.
     pub fn add(&mut self) {
-        let at = self.daemons.len();
-        let daemon = self.start(at, 1);
+        let id = self.daemons.len();
+        let daemon = self.start(id, 1);
         self.daemons.push(daemon);
     }
 
-    fn start(&self, at: usize, boot: u64) -> Daemon {
-        let peer = peer_of(at);
-        let home = PeerProcess {
+    fn start(&self, id: usize, boot: u64) -> Daemon {
+        let peer = peer_of(id);
+        let coordinator = PeerProcess {
             peer_addr: peer.clone(),
             boot,
         };
         let version = self.configs.len() - 1;
-        let mut meter = meter(self.way, self.tolerance, home, self.now);
+        let mut limiter = limiter(self.policy, self.tolerance, coordinator, self.now);
         let groups = GROUPS.map(Name::from);
-        meter.configure(&workspaces(&self.configs[version].1), &groups, self.now);
+        limiter.configure(&workspaces(&self.configs[version].1), &groups, self.now);
         Daemon {
-            meter,
+            limiter,
             peer,
             boot,
             up: true,
-            frozen_until: 0,
-            side: self.daemons.get(at).map_or(0, |d| d.side),
-            began: self.now,
-            known: [0, at].into(),
-            met: Map::default(),
-            certain: false,
-            heard: Map::default(),
-            store: self.now,
+            frozen_until_ms: 0,
+            side: self.daemons.get(id).map_or(0, |d| d.side),
+            started_at_ms: self.now,
+            known: [0, id].into(),
+            known_since: Map::default(),
+            confirmed: false,
+            heard_at: Map::default(),
+            store_heard_at: self.now,
             version,
             applied: version,
         }
     }
 
-    pub fn kill(&mut self, at: usize) {
-        self.daemons[at].up = false;
+    pub fn stop(&mut self, id: usize) {
+        self.daemons[id].up = false;
     }
 
-    pub fn restart(&mut self, at: usize) {
-        let boot = self.daemons[at].boot + 1;
-        self.daemons[at] = self.start(at, boot);
-        self.unread.retain(|u| u.home != at);
+    pub fn restart(&mut self, id: usize) {
+        let boot = self.daemons[id].boot + 1;
+        self.daemons[id] = self.start(id, boot);
+        self.unread.retain(|u| u.coordinator != id);
     }
 
-    pub fn freeze(&mut self, at: usize, ms: u64) {
-        self.daemons[at].frozen_until = self.now + ms;
+    pub fn freeze(&mut self, id: usize, ms: u64) {
+        self.daemons[id].frozen_until_ms = self.now + ms;
     }
 
-    /// Daemons for which `away` says so are cut off from the others; the store
-    /// is on the side `store`.
-    pub fn cut(&mut self, store: usize, away: impl Fn(usize) -> bool) {
+    /// Cuts off the daemons for which `away` is true from the others; the store
+    /// is on side `store`.
+    pub fn partition(&mut self, store: usize, away: impl Fn(usize) -> bool) {
         self.store_side = store;
-        for (at, daemon) in self.daemons.iter_mut().enumerate() {
-            daemon.side = usize::from(away(at));
+        for (id, daemon) in self.daemons.iter_mut().enumerate() {
+            daemon.side = usize::from(away(id));
         }
     }
 
-    /// Each daemon is cut off from all others.
-    pub fn shatter(&mut self) {
-        for (at, daemon) in self.daemons.iter_mut().enumerate() {
-            daemon.side = at + 1;
+    /// Cuts off each daemon from all others.
+    pub fn isolate_all(&mut self) {
+        for (id, daemon) in self.daemons.iter_mut().enumerate() {
+            daemon.side = id + 1;
         }
         self.store_side = 0;
     }
 
-    pub fn lose(&mut self, part: f64) {
-        self.loss = part;
+    pub fn set_loss(&mut self, part: f64) {
+        self.loss_rate = part;
     }
 
-    pub fn hold(&mut self, group: usize, holder: usize) {
+    pub fn set_holder(&mut self, group: usize, holder: usize) {
         self.holders[group] = holder;
     }
 
-    pub fn configure(&mut self, caps: Vec<Quota>) {
-        self.configs.push((self.now, caps));
-        self.settled.push(None);
+    pub fn configure(&mut self, quotas: Vec<Quota>) {
+        self.configs.push((self.now, quotas));
+        self.fully_applied_at.push(None);
     }
 
-    fn active(&self, at: usize) -> bool {
-        self.daemons[at].up && self.now >= self.daemons[at].frozen_until
+    fn is_running(&self, id: usize) -> bool {
+        self.daemons[id].up && self.now >= self.daemons[id].frozen_until_ms
     }
 
-    fn joined(&self, a: usize, b: usize) -> bool {
+    fn connected(&self, a: usize, b: usize) -> bool {
         self.daemons[a].side == self.daemons[b].side
     }
 
@@ -334,83 +343,90 @@
         self.now += STEP_MS;
         self.gossip();
         self.thaw();
-        for at in 0..self.size() {
-            if self.active(at) {
-                self.meet(at);
-                for (group, home) in self.daemons[at].meter.due_settlements(self.now) {
-                    self.settle(at, &group, &home);
+        for id in 0..self.daemon_count() {
+            if self.is_running(id) {
+                self.update_fleet(id);
+                for (group, coordinator) in self.daemons[id].limiter.due_settlements(self.now) {
+                    self.settle(id, &group, &coordinator);
                 }
             }
         }
         for workspace in 0..self.demand.len() {
             self.requests(workspace);
         }
-        self.arrive();
+        self.run_due();
     }
 
-    /// Daemons that reach each other tell who there is and which configuration
-    /// is in force.
+    /// Daemons that reach each other exchange the member list and the active
+    /// configuration.
     fn gossip(&mut self) {
         let newest = self.configs.len() - 1;
-        let mut sides: Map<usize, Told> = Map::default();
-        let active: Vec<usize> = (0..self.size()).filter(|at| self.active(*at)).collect();
-        for at in active.iter().copied() {
-            if self.daemons[at].side == self.store_side {
-                self.daemons[at].store = self.now;
-                self.daemons[at].version = newest;
-                self.list(at);
+        let mut sides: Map<usize, SideKnowledge> = Map::default();
+        let running: Vec<usize> = (0..self.daemon_count())
+            .filter(|id| self.is_running(*id))
+            .collect();
+        for id in running.iter().copied() {
+            if self.daemons[id].side == self.store_side {
+                self.daemons[id].store_heard_at = self.now;
+                self.daemons[id].version = newest;
+                self.list(id);
             }
-            let daemon = &self.daemons[at];
-            let told = sides.entry(daemon.side).or_default();
-            told.known.extend(&daemon.known);
-            told.certain |= daemon.certain;
-            told.store = told.store.max(daemon.store);
-            told.version = told.version.max(daemon.version);
+            let daemon = &self.daemons[id];
+            let shared = sides.entry(daemon.side).or_default();
+            shared.known.extend(&daemon.known);
+            shared.confirmed |= daemon.confirmed;
+            shared.store_heard_at = shared.store_heard_at.max(daemon.store_heard_at);
+            shared.version = shared.version.max(daemon.version);
         }
         let holders = self.holders;
-        for at in active {
-            let heard = holders.iter().filter(|h| self.active(**h));
-            let heard: Vec<usize> = heard.copied().filter(|h| self.joined(at, *h)).collect();
-            let (now, daemon) = (self.now, &mut self.daemons[at]);
-            let told = &sides[&daemon.side];
-            if daemon.known.len() < told.known.len() {
-                daemon.known = told.known.clone();
+        for id in running {
+            let heard_at = holders.iter().filter(|h| self.is_running(**h));
+            let heard_at: Vec<usize> = heard_at
+                .copied()
+                .filter(|h| self.connected(id, *h))
+                .collect();
+            let (now, daemon) = (self.now, &mut self.daemons[id]);
+            let shared = &sides[&daemon.side];
+            if daemon.known.len() < shared.known.len() {
+                daemon.known = shared.known.clone();
             }
-            if daemon.met.len() < daemon.known.len() {
+            if daemon.known_since.len() < daemon.known.len() {
                 for other in daemon.known.clone() {
-                    daemon.met.entry(other).or_insert(now);
+                    daemon.known_since.entry(other).or_insert(now);
                 }
             }
-            daemon.certain |= told.certain;
-            daemon.store = told.store;
-            daemon.version = told.version;
-            daemon.heard.extend(heard.into_iter().map(|h| (h, now)));
+            daemon.confirmed |= shared.confirmed;
+            daemon.store_heard_at = shared.store_heard_at;
+            daemon.version = shared.version;
+            daemon
+                .heard_at
+                .extend(heard_at.into_iter().map(|h| (h, now)));
         }
         let all = self.daemons.iter().all(|d| d.up && d.applied == newest);
-        if all && self.settled[newest].is_none() {
-            self.settled[newest] = Some(self.now);
+        if all && self.fully_applied_at[newest].is_none() {
+            self.fully_applied_at[newest] = Some(self.now);
         }
     }
 
-    /// A daemon that has started reads who there is in the store.
-    fn list(&mut self, at: usize) {
-        let size = self.size();
-        let daemon = &mut self.daemons[at];
-        if !daemon.certain && self.now.saturating_sub(daemon.began) >= LIST_MS {
-            daemon.certain = true;
+    /// A started daemon reads the member list from the store.
+    fn list(&mut self, id: usize) {
+        let size = self.daemon_count();
+        let daemon = &mut self.daemons[id];
+        if !daemon.confirmed && self.now.saturating_sub(daemon.started_at_ms) >= LIST_DELAY_MS {
+            daemon.confirmed = true;
             daemon.known.extend(0..size);
         }
     }
 
-    fn meet(&mut self, at: usize) {
+    fn update_fleet(&mut self, id: usize) {
         let now = self.now;
-        let mut homes: Map<Name, PeerProcess> = Map::default();
+        let mut coordinators: Map<Name, PeerProcess> = Map::default();
         for (group, holder) in GROUPS.iter().zip(self.holders) {
-            let heard = self.daemons[at].heard.get(&holder);
-            let recent = heard.is_some_and(|h| now.saturating_sub(*h) <= SILENT_MS);
-            if holder == at || recent {
+            let heard_at = self.daemons[id].heard_at.get(&holder);
+            let recent = heard_at.is_some_and(|h| now.saturating_sub(*h) <= PEER_TIMEOUT_MS);
+            if holder == id || recent {
                 let holder = &self.daemons[holder];
-                homes.insert(
+                coordinators.insert(
                     (*group).into(),
                     PeerProcess {
                         peer_addr: holder.peer.clone(),
@@ -419,117 +435,140 @@
                 );
             }
         }
-        let daemon = &mut self.daemons[at];
+        let daemon = &mut self.daemons[id];
         let fleet = FleetView {
             members: daemon.known.len(),
-            confirmed: daemon.certain,
-            stale: now.saturating_sub(daemon.store) >= STALE_MS,
+            confirmed: daemon.confirmed,
+            stale: now.saturating_sub(daemon.store_heard_at) >= STALE_MS,
         };
         if daemon.applied != daemon.version {
             daemon.applied = daemon.version;
             let found = workspaces(&self.configs[daemon.version].1);
-            daemon.meter.configure(&found, &GROUPS.map(Name::from), now);
+            daemon
+                .limiter
+                .configure(&found, &GROUPS.map(Name::from), now);
         }
-        daemon.meter.update_fleet(&homes, fleet, now);
+        daemon.limiter.update_fleet(&coordinators, fleet, now);
     }
 
-    fn settle(&mut self, at: usize, group: &Name, home: &PeerProcess) {
+    fn settle(&mut self, id: usize, group: &Name, coordinator: &PeerProcess) {
         let now = self.now;
-        let call = self.daemons[at].meter.settle_request(group, home, now);
-        self.calls += 1;
-        self.lines += call.lines.len() as u64;
-        let to = self.daemons.iter().position(|d| d.peer == home.peer_addr);
-        let to = to.expect("homes are daemons");
-        let lost = self.rng.random_bool(self.loss);
-        if lost || !self.joined(at, to) || !self.daemons[to].up {
-            self.daemons[at].meter.handle_reply(group, home, None, now);
+        let request = self.daemons[id]
+            .limiter
+            .settle_request(group, coordinator, now);
+        self.requests_made += 1;
+        self.usage_lines += request.lines.len() as u64;
+        let to = self
+            .daemons
+            .iter()
+            .position(|d| d.peer == coordinator.peer_addr);
+        let to = to.expect("coordinators are daemons");
+        let dropped = self.rng.random_bool(self.loss_rate);
+        if dropped || !self.connected(id, to) || !self.daemons[to].up {
+            self.daemons[id]
+                .limiter
+                .handle_reply(group, coordinator, None, now);
             return;
         }
-        if !self.active(to) {
-            self.unread.push(Unread { home: to, call });
-            self.daemons[at].meter.handle_reply(group, home, None, now);
+        if !self.is_running(to) {
+            self.unread.push(UnreadRequest {
+                coordinator: to,
+                request,
+            });
+            self.daemons[id]
+                .limiter
+                .handle_reply(group, coordinator, None, now);
             return;
         }
-        let met = self.daemons[to].met.get(&at).copied().unwrap_or(now);
-        let reply = self.daemons[to].meter.handle_settle(&call, met, now);
-        let lost = self.rng.random_bool(self.loss);
-        let reply = (!lost).then_some(&reply);
-        self.daemons[at].meter.handle_reply(group, home, reply, now);
-    }
-
-    /// Homes that were frozen read what came meanwhile.
+        let known_since = self.daemons[to]
+            .known_since
+            .get(&id)
+            .copied()
+            .unwrap_or(now);
+        let reply = self.daemons[to]
+            .limiter
+            .handle_settle(&request, known_since, now);
+        let dropped = self.rng.random_bool(self.loss_rate);
+        let reply = (!dropped).then_some(&reply);
+        self.daemons[id]
+            .limiter
+            .handle_reply(group, coordinator, reply, now);
+    }
+
+    /// Coordinators that were frozen read the requests received meanwhile.
     fn thaw(&mut self) {
         let (ready, later) = std::mem::take(&mut self.unread)
             .into_iter()
-            .partition(|u| self.active(u.home));
+            .partition(|u| self.is_running(u.coordinator));
         self.unread = later;
         for unread in ready {
             let now = self.now;
             let from = self
                 .daemons
                 .iter()
-                .position(|d| *d.peer == *unread.call.from);
-            let home = &mut self.daemons[unread.home];
-            let met = from.and_then(|f| home.met.get(&f).copied());
-            home.meter
-                .handle_settle(&unread.call, met.unwrap_or(now), now);
+                .position(|d| *d.peer == *unread.request.from);
+            let coordinator = &mut self.daemons[unread.coordinator];
+            let known_since = from.and_then(|f| coordinator.known_since.get(&f).copied());
+            coordinator
+                .limiter
+                .handle_settle(&unread.request, known_since.unwrap_or(now), now);
         }
     }
 
     fn requests(&mut self, workspace: usize) {
-        let cap = self.configs.last().expect("there is a configuration").1[workspace];
-        let mut due = cap.rate * self.demand[workspace] * STEP_MS as f64 / 1_000.0;
+        let quota = self.configs.last().expect("there is a configuration").1[workspace];
+        let mut due = quota.rate * self.demand[workspace] * STEP_MS as f64 / 1_000.0;
         while due > 0.0 {
             let size = self.rng.random_range(self.sizes.clone());
             if due < size as f64 && !self.rng.random_bool(due / size as f64) {
                 return;
             }
             due -= size as f64;
-            let at = match self.focus.len() {
-                0 => self.rng.random_range(0..self.size()),
-                n => self.focus[self.rng.random_range(0..n)].min(self.size() - 1),
+            let id = match self.busy_daemons.len() {
+                0 => self.rng.random_range(0..self.daemon_count()),
+                n => self.busy_daemons[self.rng.random_range(0..n)].min(self.daemon_count() - 1),
             };
-            if self.active(at) {
-                self.request(at, workspace, size);
+            if self.is_running(id) {
+                self.request(id, workspace, size);
             }
         }
     }
 
-    fn request(&mut self, at: usize, workspace: usize, size: u64) {
+    fn request(&mut self, id: usize, workspace: usize, size: u64) {
         self.asked[workspace] += size;
         let name = format!("w{workspace}");
         let now = self.now;
-        self.daemons[at].meter.record_demand(&name, size, now);
-        let mut taken = self.daemons[at].meter.try_reserve(&name, size, now);
-        if matches!(taken, ReserveOutcome::Pending(_)) {
-            for (group, home) in self.daemons[at].meter.due_settlements(now) {
-                self.settle(at, &group, &home);
+        self.daemons[id].limiter.record_demand(&name, size, now);
+        let mut outcome = self.daemons[id].limiter.try_reserve(&name, size, now);
+        if matches!(outcome, ReserveOutcome::Pending(_)) {
+            for (group, coordinator) in self.daemons[id].limiter.due_settlements(now) {
+                self.settle(id, &group, &coordinator);
             }
-            taken = self.daemons[at].meter.try_reserve(&name, size, now);
+            outcome = self.daemons[id].limiter.try_reserve(&name, size, now);
         }
-        match taken {
+        match outcome {
             ReserveOutcome::Granted => {
-                let wait = self.rng.random_range(0..=WAIT_MS);
+                let wait = self.rng.random_range(0..=MAX_SEND_DELAY_MS);
                 self.sent.push(Sent {
                     at: now + wait,
                     workspace,
                     size,
-                    daemon: at,
-                    boot: self.daemons[at].boot,
+                    daemon: id,
+                    boot: self.daemons[id].boot,
                 });
             }
             ReserveOutcome::OverQuota { .. } => self.refused[workspace] += size,
             ReserveOutcome::Pending(_) | ReserveOutcome::UsageUnknown { .. } => {
-                self.unsure[workspace] += size
+                self.unknown[workspace] += size
             }
         }
     }
 
-    /// Requests that waited are sent, if their daemon still runs.
-    fn arrive(&mut self) {
+    /// Sends waiting requests whose daemon still runs.
+    fn run_due(&mut self) {
         let (due, later) = std::mem::take(&mut self.sent)
             .into_iter()
-            .partition(|s| s.at <= self.now && self.active(s.daemon));
+            .partition(|s| s.at <= self.now && self.is_running(s.daemon));
         self.sent = later;
         for sent in due {
             let daemon = &mut self.daemons[sent.daemon];
@@ -537,7 +576,7 @@
                 continue;
             }
             daemon
-                .meter
+                .limiter
                 .mark_sent(&format!("w{}", sent.workspace), sent.size);
             self.runs.push(Run {
                 at: self.now,
@@ -547,9 +586,9 @@
         }
     }
 
-    /// The most that ran in a window, against what the rule allows there, by
-    /// workspace.
-    pub fn worst(&self, workspace: usize) -> (f64, f64) {
+    /// The largest number of units run in a window of a workspace, and the
+    /// number allowed in it.
+    pub fn worst_window(&self, workspace: usize) -> (f64, f64) {
         let runs: Vec<&Run> = self
             .runs
             .iter()
@@ -571,26 +610,28 @@
         worst
     }
 
-    /// What the rule allows in the window that ends at `end`: a lower cap binds
+    /// Units allowed in the window that ends at `end`: a lower quota applies
     /// one window after all daemons have it.
     fn allowed(&self, workspace: usize, end: u64) -> f64 {
         let start = end.saturating_sub(self.tolerance.window_ms);
-        let mut most: f64 = 0.0;
-        for (version, (from, caps)) in self.configs.iter().enumerate() {
-            let next = self.settled.get(version + 1).copied();
-            let until = match next {
+        let mut max_units: f64 = 0.0;
+        for (version, (from, quotas)) in self.configs.iter().enumerate() {
+            let next = self.fully_applied_at.get(version + 1).copied();
+            let end_ms = match next {
                 None => u64::MAX,
-                Some(settled) => settled.map_or(u64::MAX, |at| at + self.tolerance.window_ms),
+                Some(fully_applied_at) => fully_applied_at
+                    .map_or(u64::MAX, |applied_ms| applied_ms + self.tolerance.window_ms),
             };
-            if *from <= end && until >= start {
-                let cap = &caps[workspace];
-                most = most.max(self.tolerance.allowed(cap) + self.tolerance.tolerated_excess(cap));
+            if *from <= end && end_ms >= start {
+                let quota = &quotas[workspace];
+                max_units = max_units
+                    .max(self.tolerance.allowed(quota) + self.tolerance.tolerated_excess(quota));
             }
         }
-        most
+        max_units
     }
 
-    pub fn ran(&self, workspace: usize, from: u64, to: u64) -> f64 {
+    pub fn units_run(&self, workspace: usize, from: u64, to: u64) -> f64 {
         let runs = self.runs.iter().filter(|r| r.workspace == workspace);
         let runs = runs.filter(|r| r.at >= from && r.at < to);
         runs.map(|r| r.size as f64).sum()
