--- a/crates/comfreyhall-inforce/src/in_force.rs
+++ b/crates/comfreyhall-inforce/src/in_force.rs
@@ -1,20 +1,20 @@
-//! The state, what changes it, and what is asked of it.
+//! The tracker's state, its transitions, and the queries on it.
 
 use std::fmt;
 
 use comfreyhall_domain::Name;
 
-/// How settings came.
+/// Where settings were obtained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// Read in the store.
+    /// Read from the store.
     Store,
-    /// Told by the daemon of this id.
+    /// Received from the daemon with this id.
     Peer(Name),
 }
 
 impl Source {
-    /// A word for metrics.
+    /// Label value for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Source::Store => "store",
@@ -32,33 +32,34 @@
     }
 }
 
-/// A newer version that somebody has, and that is not known here.
+/// A newer version that another daemon has and that is not known here.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewerVersion {
     /// The version.
     pub version: u64,
-    /// Who told of it first.
+    /// The daemon that reported it first.
     pub reported_by: Name,
-    /// Since when a newer version than the one here has been known of.
+    /// Since when any version newer than the local one has been known of.
     pub since_ms: u64,
 }
 
-/// How the newest settings came.
+/// How the newest settings were obtained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedVersion {
-    /// The version of the newest row.
+    /// Version of the newest row.
     pub version: u64,
-    /// The one before it, in this start of the daemon; 0 for none.
+    /// The version before it since this daemon started; 0 for none.
     pub previous: u64,
-    /// How it came.
+    /// Where it was obtained.
     pub source: Source,
-    /// When.
+    /// When it was applied.
     pub applied_at_ms: u64,
-    /// Ms since it was first heard of, or since it was asked for.
+    /// Time from the first report of the version, or from the request for it, until
+    /// it was applied, in ms.
     pub waited_ms: u64,
 }
 
-/// What a request may be judged by.
+/// Whether requests may be decided by the known settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
     /// Every version accepted longer ago than the bound is known.
@@ -67,194 +68,204 @@
     Stale,
 }
 
-/// What to do about a newer version that was heard of.
+/// What to do about a newer version that has been reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CatchUp {
-    /// None was heard of.
+    /// No newer version has been reported.
     Idle,
-    /// The store is about to give it; look again after so many ms.
+    /// The store is expected to deliver it; check again after this many ms.
     Wait(u64),
-    /// The store does not give it: a daemon that has it is asked.
+    /// The store does not deliver it: ask a daemon that has it.
     AskPeer,
 }
 
-/// What is known of the settings.
+/// What a daemon knows about the versions of its settings.
 #[derive(Debug, Default)]
 pub struct SettingsTracker {
     /// Version of the newest row.
     newest: u64,
     /// Every row up to this version is known.
-    covers: u64,
-    /// The store said at this moment, or later, that there was nothing beyond.
-    as_of: Option<u64>,
-    heard: Option<NewerVersion>,
-    taken: Option<AppliedVersion>,
+    complete_to: u64,
+    /// The store confirmed at this time, or later, that there were no further rows.
+    confirmed_at_ms: Option<u64>,
+    newer: Option<NewerVersion>,
+    last_applied: Option<AppliedVersion>,
     /// Since when the store has not answered this daemon.
-    away: Option<u64>,
-    /// Whether an answer of the store is on its way.
-    arriving: bool,
-    /// Whether the newest configuration could not be read: those between it and the
-    /// one in force are lost to this daemon.
-    unread: bool,
+    store_down_since: Option<u64>,
+    /// Whether an answer of the store is being received.
+    store_read_pending: bool,
+    /// Whether the newest configuration could not be read: any versions between it
+    /// and the active one are lost to this daemon.
+    unreadable: bool,
 }
 
 impl SettingsTracker {
-    /// Version of the newest row: what other daemons are told.
+    /// Version of the newest row, as reported to other daemons.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
     /// Every row up to this version is known.
     pub fn complete_to(&self) -> u64 {
-        self.covers
+        self.complete_to
     }
 
-    /// How the newest settings came.
+    /// How the newest settings were obtained.
     pub fn last_applied(&self) -> Option<&AppliedVersion> {
-        self.taken.as_ref()
+        self.last_applied.as_ref()
     }
 
-    /// The newest version heard of, if it is not known here.
+    /// The newest reported version, if it is not known here.
     pub fn newer_version(&self) -> Option<&NewerVersion> {
-        self.heard.as_ref()
+        self.newer.as_ref()
     }
 
     /// Since when the store has not answered this daemon.
     pub fn store_down_since(&self) -> Option<u64> {
-        self.away
+        self.store_down_since
     }
 
-    /// Ms since the store said what is known here; the most there is if it never
-    /// did.
+    /// Time since the store confirmed what is known here, in ms; `u64::MAX` if it
+    /// never did.
     pub fn age_ms(&self, now: u64) -> u64 {
-        self.as_of.map_or(u64::MAX, |at| now.saturating_sub(at))
+        self.confirmed_at_ms
+            .map_or(u64::MAX, |at_ms| now.saturating_sub(at_ms))
     }
 
     /// For how long a newer version has been known of, in ms.
     pub fn lag_ms(&self, now: u64) -> u64 {
-        let since = self.heard.as_ref().map(|h| h.since_ms);
-        since.map_or(0, |since| now.saturating_sub(since))
+        let since_ms = self.newer.as_ref().map(|n| n.since_ms);
+        since_ms.map_or(0, |since_ms| now.saturating_sub(since_ms))
     }
 
-    /// An answer of the store has begun to come.
+    /// The store has started to answer.
     pub fn store_read_started(&mut self) {
-        self.arriving = true;
+        self.store_read_pending = true;
     }
 
-    /// The store answered that every row up to `covers` is known now, and that at
-    /// `as_of` there were no others.
-    pub fn store_confirmed(&mut self, covers: u64, as_of: u64) {
-        self.away = None;
-        self.arriving = false;
-        self.reach(covers);
-        self.confirm(as_of);
+    /// The store answered: every row up to `complete_to` is known now, and there
+    /// were no others at `confirmed_at_ms`.
+    pub fn store_confirmed(&mut self, complete_to: u64, confirmed_at_ms: u64) {
+        self.store_down_since = None;
+        self.store_read_pending = false;
+        self.extend_to(complete_to);
+        self.confirm_at(confirmed_at_ms);
     }
 
     /// The store did not answer.
     pub fn store_failed(&mut self, now: u64) {
-        self.arriving = false;
-        self.away.get_or_insert(now);
+        self.store_read_pending = false;
+        self.store_down_since.get_or_insert(now);
     }
 
-    /// Another daemon has `newest` as its newest row, and the store said at
-    /// `as_of`, if it is known, that there was nothing beyond.
-    pub fn peer_reported(&mut self, from: &Name, newest: u64, as_of: Option<u64>, now: u64) {
-        if newest > self.covers {
-            self.hear(from, newest, now);
+    /// Another daemon reported `newest` as its newest row. `confirmed_at_ms`, if
+    /// known, is when the store confirmed to it that there was nothing newer.
+    pub fn peer_reported(
+        &mut self,
+        peer: &Name,
+        newest: u64,
+        confirmed_at_ms: Option<u64>,
+        now: u64,
+    ) {
+        if newest > self.complete_to {
+            self.note_newer(peer, newest, now);
             return;
         }
-        // One that holds less than this daemon confirms nothing of what it lacks.
+        // A peer that knows less than this daemon confirms nothing about what it
+        // lacks.
         if newest >= self.newest
-            && let Some(as_of) = as_of
+            && let Some(confirmed_at_ms) = confirmed_at_ms
         {
-            self.confirm(as_of);
+            self.confirm_at(confirmed_at_ms);
         }
     }
 
-    /// Whether rows that make up all changes after `since` fit what is known: with
-    /// a gap before them they would pass for everything up to their newest.
-    pub fn is_contiguous(&self, since: u64) -> bool {
-        since <= self.covers
+    /// Whether rows that contain all changes after `base` follow without a gap on
+    /// what is known: behind a gap they would pass for everything up to their
+    /// newest.
+    pub fn is_contiguous(&self, base: u64) -> bool {
+        base <= self.complete_to
     }
 
-    /// A row of this version is in force now. `asked`: when it was asked for.
-    pub fn apply(&mut self, version: u64, way: &Source, asked: u64, now: u64) {
+    /// A row of this version is active now. `requested_ms`: when it was requested.
+    pub fn apply(&mut self, version: u64, source: &Source, requested_ms: u64, now: u64) {
         if version <= self.newest {
             return;
         }
-        let heard = self.heard.as_ref().filter(|h| h.version >= version);
-        let begun = heard.map_or(asked, |h| h.since_ms.min(asked));
-        self.taken = Some(AppliedVersion {
+        let newer = self.newer.as_ref().filter(|n| n.version >= version);
+        let started_ms = newer.map_or(requested_ms, |n| n.since_ms.min(requested_ms));
+        self.last_applied = Some(AppliedVersion {
             version,
             previous: self.newest,
-            source: way.clone(),
+            source: source.clone(),
             applied_at_ms: now,
-            waited_ms: now.saturating_sub(begun),
+            waited_ms: now.saturating_sub(started_ms),
         });
         self.newest = version;
-        self.reach(version);
+        self.extend_to(version);
     }
 
-    /// Every row up to `newest` is known: another daemon gave them all.
+    /// Every row up to `newest` is known: another daemon sent them all.
     pub fn peer_completed(&mut self, newest: u64) {
-        self.reach(newest);
+        self.extend_to(newest);
     }
 
-    /// What to do about a newer version; the store has `patience` ms for it.
-    pub fn next_step(&self, now: u64, patience: u64) -> CatchUp {
-        let left = patience.saturating_sub(self.lag_ms(now));
-        match (&self.heard, self.away) {
+    /// What to do about a newer version; the store has `store_timeout_ms` to
+    /// deliver it.
+    pub fn next_step(&self, now: u64, store_timeout_ms: u64) -> CatchUp {
+        let remaining_ms = store_timeout_ms.saturating_sub(self.lag_ms(now));
+        match (&self.newer, self.store_down_since) {
             (None, _) => CatchUp::Idle,
-            // A second transfer beside it would slow both down.
-            (Some(_), _) if self.arriving => CatchUp::Wait(patience),
-            (Some(_), None) if left > 0 => CatchUp::Wait(left),
+            // A second transfer in parallel would slow both down.
+            (Some(_), _) if self.store_read_pending => CatchUp::Wait(store_timeout_ms),
+            (Some(_), None) if remaining_ms > 0 => CatchUp::Wait(remaining_ms),
             (Some(_), _) => CatchUp::AskPeer,
         }
     }
 
-    /// Whether the newest configuration can be read.
+    /// Records whether the newest configuration can be read.
     pub fn set_readable(&mut self, readable: bool) {
-        self.unread = !readable;
+        self.unreadable = !readable;
     }
 
-    /// What a request may be judged by; `bound`: Ms in which an accepted version
-    /// has to be in force.
-    pub fn freshness(&self, now: u64, bound: u64) -> Freshness {
-        match self.unread || self.heard.is_some() || self.age_ms(now) > bound {
+    /// Whether requests may be decided by the known settings. `bound_ms`: time in
+    /// which an accepted version has to become active.
+    pub fn freshness(&self, now: u64, bound_ms: u64) -> Freshness {
+        match self.unreadable || self.newer.is_some() || self.age_ms(now) > bound_ms {
             true => Freshness::Stale,
             false => Freshness::Current,
         }
     }
 
-    fn hear(&mut self, from: &Name, version: u64, now: u64) {
-        match &mut self.heard {
-            Some(heard) if heard.version >= version => {}
-            Some(heard) => {
-                heard.version = version;
-                heard.reported_by = from.clone();
+    fn note_newer(&mut self, peer: &Name, version: u64, now: u64) {
+        match &mut self.newer {
+            Some(newer) if newer.version >= version => {}
+            Some(newer) => {
+                newer.version = version;
+                newer.reported_by = peer.clone();
             }
             None => {
-                self.heard = Some(NewerVersion {
+                self.newer = Some(NewerVersion {
                     version,
-                    reported_by: from.clone(),
+                    reported_by: peer.clone(),
                     since_ms: now,
                 });
             }
         }
     }
 
-    fn reach(&mut self, covers: u64) {
-        self.covers = self.covers.max(covers);
+    fn extend_to(&mut self, complete_to: u64) {
+        self.complete_to = self.complete_to.max(complete_to);
         if self
-            .heard
+            .newer
             .as_ref()
-            .is_some_and(|h| h.version <= self.covers)
+            .is_some_and(|n| n.version <= self.complete_to)
         {
-            self.heard = None;
+            self.newer = None;
         }
     }
 
-    fn confirm(&mut self, as_of: u64) {
-        self.as_of = self.as_of.max(Some(as_of));
+    fn confirm_at(&mut self, confirmed_at_ms: u64) {
+        self.confirmed_at_ms = self.confirmed_at_ms.max(Some(confirmed_at_ms));
     }
 }
--- a/crates/comfreyhall-inforce/src/tests.rs
+++ b/crates/comfreyhall-inforce/src/tests.rs
@@ -1,115 +1,116 @@
 use super::{CatchUp, Freshness, SettingsTracker, Source};
 
-const BOUND: u64 = 3_000;
+const BOUND_MS: u64 = 3_000;
 
 fn name(text: &str) -> comfreyhall_domain::Name {
     text.into()
 }
 
 #[test]
-fn verdict_nothing_known_is_stale() {
+fn freshness_nothing_known_is_stale() {
     assert_eq!(
-        SettingsTracker::default().freshness(5, BOUND),
+        SettingsTracker::default().freshness(5, BOUND_MS),
         Freshness::Stale
     );
 }
 
 #[test]
-fn verdict_ages() {
-    let mut known = SettingsTracker::default();
-    known.apply(7, &Source::Store, 90, 100);
-    known.store_confirmed(9, 90);
-    assert_eq!(known.freshness(3_090, BOUND), Freshness::Current);
-    assert_eq!(known.freshness(3_091, BOUND), Freshness::Stale);
+fn freshness_expires_after_bound() {
+    let mut tracker = SettingsTracker::default();
+    tracker.apply(7, &Source::Store, 90, 100);
+    tracker.store_confirmed(9, 90);
+    assert_eq!(tracker.freshness(3_090, BOUND_MS), Freshness::Current);
+    assert_eq!(tracker.freshness(3_091, BOUND_MS), Freshness::Stale);
 }
 
 #[test]
-fn verdict_newer_heard_of_is_stale_until_taken() {
-    let mut known = SettingsTracker::default();
-    known.apply(7, &Source::Store, 90, 100);
-    known.store_confirmed(9, 90);
-    known.peer_reported(&name("a"), 12, Some(150), 200);
-    assert_eq!(known.freshness(210, BOUND), Freshness::Stale);
-    assert_eq!(known.lag_ms(500), 300);
-    known.apply(12, &Source::Peer(name("a")), 210, 400);
-    assert_eq!(known.freshness(410, BOUND), Freshness::Current);
-    let taken = known.last_applied().unwrap();
-    assert_eq!((taken.previous, taken.waited_ms), (7, 200));
+fn freshness_newer_version_is_stale_until_applied() {
+    let mut tracker = SettingsTracker::default();
+    tracker.apply(7, &Source::Store, 90, 100);
+    tracker.store_confirmed(9, 90);
+    tracker.peer_reported(&name("a"), 12, Some(150), 200);
+    assert_eq!(tracker.freshness(210, BOUND_MS), Freshness::Stale);
+    assert_eq!(tracker.lag_ms(500), 300);
+    tracker.apply(12, &Source::Peer(name("a")), 210, 400);
+    assert_eq!(tracker.freshness(410, BOUND_MS), Freshness::Current);
+    let applied = tracker.last_applied().unwrap();
+    assert_eq!((applied.previous, applied.waited_ms), (7, 200));
 }
 
 #[test]
-fn peer_said_older_confirms_nothing() {
-    let mut known = SettingsTracker::default();
-    known.apply(7, &Source::Store, 90, 100);
-    known.peer_reported(&name("a"), 6, Some(5_000), 5_000);
-    assert_eq!(known.age_ms(5_000), u64::MAX);
-    known.peer_reported(&name("a"), 7, Some(5_000), 5_000);
-    assert_eq!(known.age_ms(5_000), 0);
+fn peer_reported_older_version_confirms_nothing() {
+    let mut tracker = SettingsTracker::default();
+    tracker.apply(7, &Source::Store, 90, 100);
+    tracker.peer_reported(&name("a"), 6, Some(5_000), 5_000);
+    assert_eq!(tracker.age_ms(5_000), u64::MAX);
+    tracker.peer_reported(&name("a"), 7, Some(5_000), 5_000);
+    assert_eq!(tracker.age_ms(5_000), 0);
 }
 
-/// The store's answer covers rows that were deleted meanwhile.
+/// Guards against waiting for rows that were deleted meanwhile, which the store's
+/// answer covers.
 #[test]
-fn peer_said_version_covered_is_not_newer() {
-    let mut known = SettingsTracker::default();
-    known.apply(7, &Source::Store, 90, 100);
-    known.store_confirmed(20, 90);
-    known.peer_reported(&name("a"), 15, None, 200);
-    assert_eq!(known.newer_version(), None);
+fn peer_reported_covered_version_is_not_newer() {
+    let mut tracker = SettingsTracker::default();
+    tracker.apply(7, &Source::Store, 90, 100);
+    tracker.store_confirmed(20, 90);
+    tracker.peer_reported(&name("a"), 15, None, 200);
+    assert_eq!(tracker.newer_version(), None);
 }
 
 #[test]
-fn fits_without_gap_only() {
-    let mut known = SettingsTracker::default();
-    assert!(known.is_contiguous(0));
-    assert!(!known.is_contiguous(5));
-    known.apply(7, &Source::Store, 90, 100);
-    assert!(known.is_contiguous(7));
-    assert!(!known.is_contiguous(8));
+fn is_contiguous_only_without_gap() {
+    let mut tracker = SettingsTracker::default();
+    assert!(tracker.is_contiguous(0));
+    assert!(!tracker.is_contiguous(5));
+    tracker.apply(7, &Source::Store, 90, 100);
+    assert!(tracker.is_contiguous(7));
+    assert!(!tracker.is_contiguous(8));
 }
 
 #[test]
-fn store_failed_keeps_first_moment() {
-    let mut known = SettingsTracker::default();
-    known.store_failed(10);
-    known.store_failed(20);
-    assert_eq!(known.store_down_since(), Some(10));
-    known.store_confirmed(1, 30);
-    assert_eq!(known.store_down_since(), None);
+fn store_failed_keeps_first_time() {
+    let mut tracker = SettingsTracker::default();
+    tracker.store_failed(10);
+    tracker.store_failed(20);
+    assert_eq!(tracker.store_down_since(), Some(10));
+    tracker.store_confirmed(1, 30);
+    assert_eq!(tracker.store_down_since(), None);
 }
 
-/// Guards against an old configuration that counts as current behind an unreadable
-/// one.
+/// Guards against an old configuration that counts as current because the newest
+/// one is unreadable.
 #[test]
-fn verdict_unreadable_configuration_is_stale() {
-    let mut known = SettingsTracker::default();
-    known.apply(7, &Source::Store, 90, 100);
-    known.store_confirmed(9, 90);
-    known.set_readable(false);
-    assert_eq!(known.freshness(100, BOUND), Freshness::Stale);
-    known.set_readable(true);
-    assert_eq!(known.freshness(100, BOUND), Freshness::Current);
+fn freshness_unreadable_configuration_is_stale() {
+    let mut tracker = SettingsTracker::default();
+    tracker.apply(7, &Source::Store, 90, 100);
+    tracker.store_confirmed(9, 90);
+    tracker.set_readable(false);
+    assert_eq!(tracker.freshness(100, BOUND_MS), Freshness::Stale);
+    tracker.set_readable(true);
+    assert_eq!(tracker.freshness(100, BOUND_MS), Freshness::Current);
 }
 
 #[test]
-fn step_store_first() {
-    let mut known = SettingsTracker::default();
-    assert_eq!(known.next_step(0, 500), CatchUp::Idle);
-    known.peer_reported(&name("a"), 7, None, 100);
-    assert_eq!(known.next_step(200, 500), CatchUp::Wait(400));
-    assert_eq!(known.next_step(600, 500), CatchUp::AskPeer);
-    known.store_read_started();
-    assert_eq!(known.next_step(600, 500), CatchUp::Wait(500));
-    known.store_failed(700);
-    assert_eq!(known.next_step(700, 500), CatchUp::AskPeer);
-    known.peer_completed(7);
-    assert_eq!(known.next_step(700, 500), CatchUp::Idle);
+fn next_step_waits_for_store_first() {
+    let mut tracker = SettingsTracker::default();
+    assert_eq!(tracker.next_step(0, 500), CatchUp::Idle);
+    tracker.peer_reported(&name("a"), 7, None, 100);
+    assert_eq!(tracker.next_step(200, 500), CatchUp::Wait(400));
+    assert_eq!(tracker.next_step(600, 500), CatchUp::AskPeer);
+    tracker.store_read_started();
+    assert_eq!(tracker.next_step(600, 500), CatchUp::Wait(500));
+    tracker.store_failed(700);
+    assert_eq!(tracker.next_step(700, 500), CatchUp::AskPeer);
+    tracker.peer_completed(7);
+    assert_eq!(tracker.next_step(700, 500), CatchUp::Idle);
 }
 
-/// A daemon that the store turns away need not wait for it.
+/// A daemon that the store does not answer need not wait for it.
 #[test]
-fn step_cut_off_asks_at_once() {
-    let mut known = SettingsTracker::default();
-    known.store_failed(100);
-    known.peer_reported(&name("a"), 7, None, 101);
-    assert_eq!(known.next_step(101, 500), CatchUp::AskPeer);
+fn next_step_store_down_asks_peer_at_once() {
+    let mut tracker = SettingsTracker::default();
+    tracker.store_failed(100);
+    tracker.peer_reported(&name("a"), 7, None, 101);
+    assert_eq!(tracker.next_step(101, 500), CatchUp::AskPeer);
 }
--- a/crates/comfreyhall-inforce/tests/model.rs
+++ b/crates/comfreyhall-inforce/tests/model.rs
@@ -1,8 +1,8 @@
-//! Daemons that learn from a store and from each other, whose messages come late,
-//! in any order or never, and that start again in between.
+//! Daemons that learn from a store and from each other, whose messages are delayed,
+//! reordered or lost, and that restart in between.
 //!
-//! A model of the fleet around [`SettingsTracker`]: it knows what was accepted when, and
-//! which rows each daemon really has.
+//! Models the fleet around [`SettingsTracker`]: the model knows what was accepted
+//! when, and which rows each daemon really has.
 
 use std::collections::BTreeSet;
 
@@ -12,54 +12,56 @@
 
 const DAEMONS: usize = 4;
 
-/// Ms in which an accepted version has to be in force.
-const BOUND: u64 = 3_000;
+/// Time in which an accepted version has to become active, in ms.
+const BOUND_MS: u64 = 3_000;
 
-/// One start of a daemon.
+/// One boot (one start of the process) of a daemon.
 #[derive(Default)]
 struct Daemon {
-    known: SettingsTracker,
+    tracker: SettingsTracker,
     rows: BTreeSet<u64>,
-    start: u64,
+    started_at_ms: u64,
     boot: u64,
-    /// Of each peer: its process and its clock in its last news.
-    heard: [(u64, u64); DAEMONS],
-    /// What it takes each peer to have; it does not ask whether it started again.
-    held: [u64; DAEMONS],
+    /// For each peer, its process and its clock in its last gossip message.
+    last_gossip: [(u64, u64); DAEMONS],
+    /// The newest version that each peer is assumed to have; it is not reset when
+    /// the peer restarts.
+    assumed_newest: [u64; DAEMONS],
 }
 
 impl Daemon {
-    fn clock(&self, t: u64) -> u64 {
-        t - self.start + 1
+    fn clock(&self, now_ms: u64) -> u64 {
+        now_ms - self.started_at_ms + 1
     }
 
-    fn take(&mut self, rows: &BTreeSet<u64>, way: &Source, now: u64) {
+    fn apply_rows(&mut self, rows: &BTreeSet<u64>, source: &Source, now: u64) {
         for row in rows {
             self.rows.insert(*row);
-            self.known.apply(*row, way, now, now);
+            self.tracker.apply(*row, source, now, now);
         }
     }
 }
 
-/// Something on its way to a daemon.
+/// A message on its way to a daemon.
 #[derive(Clone)]
 enum Message {
-    /// The store's answer to a question of this moment of the asker's clock.
-    Answer {
+    /// The store's answer to a request made at `requested_ms` of the requester's
+    /// clock.
+    StoreAnswer {
         boot: u64,
-        asked: u64,
+        requested_ms: u64,
         rows: BTreeSet<u64>,
-        covers: u64,
+        complete_to: u64,
     },
-    /// What a peer told, with rows after `since` if it bears some.
-    News {
+    /// A peer's gossip message, with the rows after `since` if it carries any.
+    Gossip {
         from: usize,
         boot: u64,
         sent_at: u64,
-        heard_boot: u64,
+        echoed_boot: u64,
         echoed_at: u64,
         newest: u64,
-        age: u64,
+        age_ms: u64,
         since: u64,
         rows: BTreeSet<u64>,
     },
@@ -67,14 +69,15 @@
 
 #[derive(Debug, Clone)]
 enum Op {
-    Pass(u64),
-    Change,
-    /// A daemon asks the store, which answers at once; the answer is on its way.
-    Ask(usize),
+    Wait(u64),
+    AcceptChange,
+    /// A daemon asks the store, which answers at once; the answer is then in
+    /// flight.
+    AskStore(usize),
     StoreFails(usize),
-    /// The first tells the second, with rows or without.
-    Tell(usize, usize, bool),
-    /// The message of this number arrives, now or once more.
+    /// The first daemon sends gossip to the second, with rows or without.
+    Gossip(usize, usize, bool),
+    /// The message with this index arrives; it may arrive again later.
     Deliver(usize),
     Drop(usize),
     Restart(usize),
@@ -83,11 +86,11 @@
 fn op() -> impl Strategy<Value = Op> {
     let d = || 0..DAEMONS;
     prop_oneof![
-        4 => (1..1_500u64).prop_map(Op::Pass),
-        2 => Just(Op::Change),
-        3 => d().prop_map(Op::Ask),
+        4 => (1..1_500u64).prop_map(Op::Wait),
+        2 => Just(Op::AcceptChange),
+        3 => d().prop_map(Op::AskStore),
         1 => d().prop_map(Op::StoreFails),
-        4 => (d(), d(), any::<bool>()).prop_map(|(a, b, rows)| Op::Tell(a, b, rows)),
+        4 => (d(), d(), any::<bool>()).prop_map(|(a, b, rows)| Op::Gossip(a, b, rows)),
         8 => (0..8usize).prop_map(Op::Deliver),
         1 => (0..8usize).prop_map(Op::Drop),
         1 => d().prop_map(Op::Restart),
@@ -96,11 +99,11 @@
 
 #[derive(Default)]
 struct Fleet {
-    t: u64,
-    /// When each version was accepted; versions are uneven.
+    now_ms: u64,
+    /// When each version was accepted; version numbers have gaps.
     accepted: Vec<(u64, u64)>,
     daemons: [Daemon; DAEMONS],
-    flying: Vec<(usize, Message)>,
+    in_flight: Vec<(usize, Message)>,
     boots: u64,
 }
 
@@ -109,33 +112,33 @@
         self.accepted.iter().map(|(v, _)| *v).collect()
     }
 
-    fn play(&mut self, op: &Op) {
+    fn apply_op(&mut self, op: &Op) {
         match *op {
-            Op::Pass(ms) => self.t += ms,
-            Op::Change => {
+            Op::Wait(ms) => self.now_ms += ms,
+            Op::AcceptChange => {
                 let last = self.accepted.last().map_or(1, |(v, _)| *v);
-                self.accepted.push((last + 3, self.t));
+                self.accepted.push((last + 3, self.now_ms));
             }
-            Op::Ask(d) => self.ask(d),
+            Op::AskStore(d) => self.ask_store(d),
             Op::StoreFails(d) => {
-                let now = self.daemons[d].clock(self.t);
-                self.daemons[d].known.store_failed(now);
+                let now = self.daemons[d].clock(self.now_ms);
+                self.daemons[d].tracker.store_failed(now);
             }
-            Op::Tell(from, to, rows) if from != to => self.tell(from, to, rows),
-            Op::Tell(..) => {}
-            Op::Deliver(at) => {
-                if let Some((to, message)) = self.flying.get(at).cloned() {
-                    self.arrive(to, message);
+            Op::Gossip(from, to, rows) if from != to => self.send_gossip(from, to, rows),
+            Op::Gossip(..) => {}
+            Op::Deliver(index) => {
+                if let Some((to, message)) = self.in_flight.get(index).cloned() {
+                    self.deliver(to, message);
                 }
             }
-            Op::Drop(at) if at < self.flying.len() => {
-                self.flying.remove(at);
+            Op::Drop(index) if index < self.in_flight.len() => {
+                self.in_flight.remove(index);
             }
             Op::Drop(_) => {}
             Op::Restart(d) => {
                 self.boots += 1;
                 self.daemons[d] = Daemon {
-                    start: self.t,
+                    started_at_ms: self.now_ms,
                     boot: self.boots,
                     ..Daemon::default()
                 };
@@ -143,95 +146,106 @@
         }
     }
 
-    fn ask(&mut self, d: usize) {
+    fn ask_store(&mut self, d: usize) {
         let rows = self.versions();
-        // The counter is of all tables: it is past the newest row.
-        let covers = rows.last().map_or(1, |v| v + 1);
+        // The counter is shared by all tables, so it is past the newest row.
+        let complete_to = rows.last().map_or(1, |v| v + 1);
         let daemon = &self.daemons[d];
-        let answer = Message::Answer {
+        let answer = Message::StoreAnswer {
             boot: daemon.boot,
-            asked: daemon.clock(self.t),
+            requested_ms: daemon.clock(self.now_ms),
             rows,
-            covers,
+            complete_to,
         };
-        self.flying.insert(0, (d, answer));
+        self.in_flight.insert(0, (d, answer));
     }
 
-    fn tell(&mut self, from: usize, to: usize, bear: bool) {
+    fn send_gossip(&mut self, from: usize, to: usize, with_rows: bool) {
         let sender = &self.daemons[from];
-        let now = sender.clock(self.t);
-        let since = sender.held[to];
-        let rows = sender.rows.iter().filter(|v| bear && **v > since);
-        let (heard_boot, echoed_at) = sender.heard[to];
-        let news = Message::News {
+        let now = sender.clock(self.now_ms);
+        let since = sender.assumed_newest[to];
+        let rows = sender.rows.iter().filter(|v| with_rows && **v > since);
+        let (echoed_boot, echoed_at) = sender.last_gossip[to];
+        let gossip = Message::Gossip {
             from,
             boot: sender.boot,
             sent_at: now,
-            heard_boot,
+            echoed_boot,
             echoed_at,
-            newest: sender.known.newest(),
-            age: sender.known.age_ms(now),
+            newest: sender.tracker.newest(),
+            age_ms: sender.tracker.age_ms(now),
             since,
             rows: rows.copied().collect(),
         };
-        self.flying.insert(0, (to, news));
+        self.in_flight.insert(0, (to, gossip));
     }
 
-    fn arrive(&mut self, to: usize, message: Message) {
+    fn deliver(&mut self, to: usize, message: Message) {
         let daemon = &mut self.daemons[to];
-        let now = daemon.clock(self.t);
+        let now = daemon.clock(self.now_ms);
         match message {
-            Message::Answer {
+            Message::StoreAnswer {
                 boot,
-                asked,
+                requested_ms,
                 rows,
-                covers,
+                complete_to,
             } => {
                 if boot == daemon.boot {
-                    daemon.take(&rows, &Source::Store, now);
-                    daemon.known.store_confirmed(covers, asked);
+                    daemon.apply_rows(&rows, &Source::Store, now);
+                    daemon.tracker.store_confirmed(complete_to, requested_ms);
                 }
             }
-            Message::News {
+            Message::Gossip {
                 from,
                 boot,
                 sent_at,
-                heard_boot,
+                echoed_boot,
                 echoed_at,
                 newest,
-                age,
+                age_ms,
                 since,
                 rows,
             } => {
                 let name: Name = format!("n{from}").into();
-                if daemon.known.is_contiguous(since) {
-                    daemon.take(&rows, &Source::Peer(name.clone()), now);
+                if daemon.tracker.is_contiguous(since) {
+                    daemon.apply_rows(&rows, &Source::Peer(name.clone()), now);
                 }
-                let known = heard_boot == daemon.boot && echoed_at > 0 && age != u64::MAX;
-                let as_of = known.then(|| echoed_at.checked_sub(age)).flatten();
-                daemon.known.peer_reported(&name, newest, as_of, now);
-                daemon.heard[from] = (boot, sent_at);
-                daemon.held[from] = newest;
+                let known = echoed_boot == daemon.boot && echoed_at > 0 && age_ms != u64::MAX;
+                let confirmed_at_ms = known.then(|| echoed_at.checked_sub(age_ms)).flatten();
+                daemon
+                    .tracker
+                    .peer_reported(&name, newest, confirmed_at_ms, now);
+                daemon.last_gossip[from] = (boot, sent_at);
+                daemon.assumed_newest[from] = newest;
             }
         }
     }
 
-    /// What must hold now.
+    /// Checks the invariants.
     fn check(&self, newest_before: &[(u64, u64); DAEMONS]) {
         for (daemon, before) in self.daemons.iter().zip(newest_before) {
-            let all_up_to = |v: u64| {
+            let complete_up_to = |v: u64| {
                 let mut versions = self.accepted.iter().map(|(v, _)| *v);
                 versions.all(|known| known > v || daemon.rows.contains(&known))
             };
-            assert!(all_up_to(daemon.known.complete_to()), "a gap");
+            assert!(
+                complete_up_to(daemon.tracker.complete_to()),
+                "a row before complete_to is missing"
+            );
             if before.0 == daemon.boot {
-                assert!(daemon.known.newest() >= before.1, "went back");
+                assert!(
+                    daemon.tracker.newest() >= before.1,
+                    "the newest version decreased"
+                );
             }
-            let now = daemon.clock(self.t);
-            if daemon.known.freshness(now, BOUND) == Freshness::Current {
-                let due = self.accepted.iter().filter(|(_, at)| at + BOUND < self.t);
+            let now = daemon.clock(self.now_ms);
+            if daemon.tracker.freshness(now, BOUND_MS) == Freshness::Current {
+                let due = self
+                    .accepted
+                    .iter()
+                    .filter(|(_, at)| at + BOUND_MS < self.now_ms);
                 let due = due.map(|(v, _)| *v).max().unwrap_or(0);
-                assert!(all_up_to(due), "current without what is due");
+                assert!(complete_up_to(due), "current without a version that is due");
             }
         }
     }
@@ -240,9 +254,9 @@
         let all: Vec<_> = self
             .daemons
             .iter()
-            .map(|d| (d.boot, d.known.newest()))
+            .map(|d| (d.boot, d.tracker.newest()))
             .collect();
-        all.try_into().expect("one for each daemon")
+        all.try_into().expect("one entry for each daemon")
     }
 }
 
@@ -254,13 +268,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against going back, gaps, and old versions that count as current.
+    /// Guards against versions that decrease, gaps, and old versions that count as
+    /// current.
     #[test]
-    fn in_force_keeps_what_was_promised(ops in prop::collection::vec(op(), 1..120)) {
+    fn tracker_never_regresses_skips_or_misses_bound(ops in prop::collection::vec(op(), 1..120)) {
         let mut fleet = Fleet::default();
         for op in &ops {
             let before = fleet.newest();
-            fleet.play(op);
+            fleet.apply_op(op);
             fleet.check(&before);
         }
     }
--- a/crates/comfreyhall-once/tests/once_fuzz.rs
+++ b/crates/comfreyhall-once/tests/once_fuzz.rs
@@ -1,9 +1,9 @@
 //! Stateful fuzzing of claims against a simple oracle.
 //!
 //! Several daemons claim the same few idempotency keys through a table
-//! whose calls are lost, applied unheard, applied late or refused, and die,
-//! pause and retry in between. The oracle only counts, per key, how often
-//! the request really ran, and remembers what callers were told.
+//! whose calls are lost, applied without an answer, applied late or
+//! refused. Daemons crash, pause and retry in between. The oracle only
+//! counts, per key, how often the request really ran.
 
 use std::collections::BTreeMap;
 
@@ -19,54 +19,59 @@
 /// One step of the run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A caller's attempt at `key` reaches `daemon`; the table's next calls
+    /// A client's attempt at `key` reaches `daemon`; the table's next calls
     /// have these fates.
-    Ask {
+    Attempt {
         daemon: usize,
         key: usize,
         fates: Vec<Fate>,
     },
-    /// `daemon` goes on with what it holds of `key`.
-    Go {
+    /// `daemon` continues with the claim that it holds on `key`.
+    Continue {
         daemon: usize,
         key: usize,
-        act: Act,
+        action: Action,
         fates: Vec<Fate>,
     },
-    /// `daemon` gives back what it holds in doubt.
-    Abandon { daemon: usize, fates: Vec<Fate> },
-    /// `daemon` dies and comes back knowing nothing.
+    /// `daemon` releases its unconfirmed claims.
+    ReleaseUnconfirmed { daemon: usize, fates: Vec<Fate> },
+    /// `daemon` crashes and restarts without any state.
     Crash(usize),
-    /// Late commits of `daemon` arrive.
+    /// Delayed commits of `daemon` arrive.
     Deliver(usize),
 }
 
 /// What a claimer does next.
 #[derive(Debug, Clone, Copy)]
-enum Act {
+enum Action {
     /// Sends the request; it runs, and the answer is recorded.
     Run,
     /// Sends the request; it runs, and the answer is lost for good.
-    RunUnheard,
-    /// The target proves that it did not run; the claim is given back.
+    RunAnswerLost,
+    /// The target proves that the request did not run; the claim is
+    /// released.
     NotRun,
 }
 
-/// The steps of a run.
+/// Generates the steps of a run.
 struct Run;
 
 impl Steps for Run {
     type Step = Step;
 
     fn steps() -> BoxedStrategy<Step> {
-        let act = prop_oneof![Just(Act::Run), Just(Act::RunUnheard), Just(Act::NotRun)];
+        let action = prop_oneof![
+            Just(Action::Run),
+            Just(Action::RunAnswerLost),
+            Just(Action::NotRun)
+        ];
         prop_oneof![
             4 => (0..DAEMONS, 0..KEYS, fates(4))
-                .prop_map(|(daemon, key, fates)| Step::Ask { daemon, key, fates }),
-            4 => (0..DAEMONS, 0..KEYS, act, fates(4))
-                .prop_map(|(daemon, key, act, fates)| Step::Go { daemon, key, act, fates }),
+                .prop_map(|(daemon, key, fates)| Step::Attempt { daemon, key, fates }),
+            4 => (0..DAEMONS, 0..KEYS, action, fates(4))
+                .prop_map(|(daemon, key, action, fates)| Step::Continue { daemon, key, action, fates }),
             2 => (0..DAEMONS, fates(4))
-                .prop_map(|(daemon, fates)| Step::Abandon { daemon, fates }),
+                .prop_map(|(daemon, fates)| Step::ReleaseUnconfirmed { daemon, fates }),
             1 => (0..DAEMONS).prop_map(Step::Crash),
             2 => (0..DAEMONS).prop_map(Step::Deliver),
         ]
@@ -77,65 +82,72 @@
 struct Daemon {
     table: FakeTable,
     once: IdempotencyClaims<FakeTable>,
-    /// Claims held and not yet sent, by key; a paused daemon keeps them.
+    /// Claims held by key whose requests are not sent yet; a paused daemon
+    /// keeps them.
     claims: BTreeMap<usize, Claim>,
     /// Claims that may have been written; their attempts were refused.
-    doubts: Vec<UnconfirmedClaim>,
+    unconfirmed: Vec<UnconfirmedClaim>,
 }
 
 struct System {
     runtime: tokio::runtime::Runtime,
     daemons: Vec<Daemon>,
-    /// Times each key's request ran: the oracle.
+    /// Number of times each key's request ran: the oracle.
     runs: [u32; KEYS],
 }
 
 impl System {
-    fn ask(&mut self, daemon: usize, key: usize, fates: Vec<Fate>) {
-        let d = &mut self.daemons[daemon];
-        d.table.script(fates);
+    fn attempt(&mut self, daemon: usize, key: usize, fates: Vec<Fate>) {
+        let daemon_state = &mut self.daemons[daemon];
+        daemon_state.table.script(fates);
         let claimed = self
             .runtime
-            .block_on(d.once.claim(&format!("k{key}"), "attempt"));
-        d.table.heal();
+            .block_on(daemon_state.once.claim(&format!("k{key}"), "attempt"));
+        daemon_state.table.heal();
         match claimed {
             Ok(ClaimOutcome::Acquired(claim)) => {
                 assert!(
-                    d.claims.insert(key, claim).is_none(),
+                    daemon_state.claims.insert(key, claim).is_none(),
                     "a key was claimed while its first claim was held"
                 );
             }
             Ok(ClaimOutcome::Completed(object)) => {
                 assert_eq!(object, format!("answer-{key}"));
-                assert_eq!(self.runs[key], 1, "an answer without its run");
+                assert_eq!(
+                    self.runs[key], 1,
+                    "an answer is recorded but the request did not run"
+                );
             }
-            // Held: the caller hears "unknown". Errors: this attempt is
-            // told "not run", and indeed nothing was sent for it.
-            Ok(ClaimOutcome::Unconfirmed(doubt, _)) => d.doubts.push(doubt),
+            // `HeldByOther`: the client is told "unknown". Errors: the
+            // client is told "not run", and indeed nothing was sent for
+            // this attempt.
+            Ok(ClaimOutcome::Unconfirmed(claim, _)) => daemon_state.unconfirmed.push(claim),
             Ok(ClaimOutcome::HeldByOther) | Err(CatalogError::Unavailable { .. }) => {}
             Err(CatalogError::Unreachable { .. } | CatalogError::Conflict { .. }) => {}
             Err(e) => panic!("unexpected {e}"),
         }
     }
 
-    fn go(&mut self, daemon: usize, key: usize, act: Act, fates: Vec<Fate>) {
-        let d = &mut self.daemons[daemon];
-        let Some(claim) = d.claims.remove(&key) else {
+    fn continue_claim(&mut self, daemon: usize, key: usize, action: Action, fates: Vec<Fate>) {
+        let daemon_state = &mut self.daemons[daemon];
+        let Some(claim) = daemon_state.claims.remove(&key) else {
             return;
         };
-        d.table.script(fates);
-        match act {
-            Act::Run => {
+        daemon_state.table.script(fates);
+        match action {
+            Action::Run => {
                 self.runs[key] += 1;
                 let answer = format!("answer-{key}");
-                let _ = self.runtime.block_on(d.once.record_answer(&claim, &answer));
+                let _ = self
+                    .runtime
+                    .block_on(daemon_state.once.record_answer(&claim, &answer));
             }
-            Act::RunUnheard => self.runs[key] += 1,
-            Act::NotRun => {
-                let _ = self.runtime.block_on(d.once.release(&claim));
+            Action::RunAnswerLost => self.runs[key] += 1,
+            Action::NotRun => {
+                let _ = self.runtime.block_on(daemon_state.once.release(&claim));
             }
         }
-        d.table.heal();
+        daemon_state.table.heal();
     }
 }
 
@@ -152,7 +164,7 @@
                     once: IdempotencyClaims::new(table.clone(), format!("d{i}").into()),
                     table,
                     claims: BTreeMap::new(),
-                    doubts: Vec::new(),
+                    unconfirmed: Vec::new(),
                 }
             })
             .collect();
@@ -168,24 +180,26 @@
 
     fn apply(mut system: System, (): &(), step: Step) -> System {
         match step {
-            Step::Ask { daemon, key, fates } => system.ask(daemon, key, fates),
-            Step::Go {
+            Step::Attempt { daemon, key, fates } => system.attempt(daemon, key, fates),
+            Step::Continue {
                 daemon,
                 key,
-                act,
+                action,
                 fates,
-            } => system.go(daemon, key, act, fates),
-            Step::Abandon { daemon, fates } => {
-                let d = &mut system.daemons[daemon];
-                d.table.script(fates);
-                for doubt in std::mem::take(&mut d.doubts) {
-                    let _ = system.runtime.block_on(d.once.release_unconfirmed(&doubt));
+            } => system.continue_claim(daemon, key, action, fates),
+            Step::ReleaseUnconfirmed { daemon, fates } => {
+                let daemon_state = &mut system.daemons[daemon];
+                daemon_state.table.script(fates);
+                for claim in std::mem::take(&mut daemon_state.unconfirmed) {
+                    let _ = system
+                        .runtime
+                        .block_on(daemon_state.once.release_unconfirmed(&claim));
                 }
-                d.table.heal();
+                daemon_state.table.heal();
             }
             Step::Crash(daemon) => {
                 system.daemons[daemon].claims.clear();
-                system.daemons[daemon].doubts.clear();
+                system.daemons[daemon].unconfirmed.clear();
             }
             Step::Deliver(daemon) => system.daemons[daemon].table.deliver(),
         }
@@ -200,7 +214,7 @@
             let holders = system
                 .daemons
                 .iter()
-                .filter(|d| d.claims.contains_key(&key));
+                .filter(|daemon_state| daemon_state.claims.contains_key(&key));
             assert!(holders.count() <= 1, "two daemons may send k{key}");
         }
     }
@@ -219,11 +233,11 @@
 }
 
 #[test]
-fn abandon_frees_key() {
-    // Symptom: after an outage with lost answers, callers who had been told
-    // "not run" were told "held" for good when they came back. Sequence:
-    // the claim is written, its answer and the reads after it are lost, and
-    // the attempt is refused. Cause: nobody looked again.
+fn release_unconfirmed_frees_key() {
+    // Guards against keys that stay held for good though nothing ran. The
+    // claim is written, but its answer and the reads after it are lost, and
+    // the attempt is refused as "not run". If nobody checks the row again,
+    // later attempts at the key are told "held" for ever.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
@@ -232,14 +246,14 @@
     let first_once = IdempotencyClaims::new(first.clone(), "d0".into());
     first.script([Fate::Unheard, Fate::Lost, Fate::Lost, Fate::Lost]);
     let claimed = runtime.block_on(first_once.claim("k", "a1")).unwrap();
-    let ClaimOutcome::Unconfirmed(doubt, _) = claimed else {
-        panic!("settled without an answer: {claimed:?}");
+    let ClaimOutcome::Unconfirmed(claim, _) = claimed else {
+        panic!("claim confirmed without an answer: {claimed:?}");
     };
     let second_once = IdempotencyClaims::new(second, "d1".into());
     let held = runtime.block_on(second_once.claim("k", "a2")).unwrap();
     assert!(matches!(held, ClaimOutcome::HeldByOther), "{held:?}");
     runtime
-        .block_on(first_once.release_unconfirmed(&doubt))
+        .block_on(first_once.release_unconfirmed(&claim))
         .unwrap();
     let free = runtime.block_on(second_once.claim("k", "a3")).unwrap();
     assert!(matches!(free, ClaimOutcome::Acquired(_)), "{free:?}");
