--- a/crates/comfreyhall-domain/src/lib.rs
+++ b/crates/comfreyhall-domain/src/lib.rs
@@ -7,13 +7,12 @@
 //! Drivers convert their wire format into these types at the boundary; nothing
 //! here knows a header or a field name of any protocol.
 
-mod ask;
 mod config;
 mod outcome;
-mod ranks;
+mod priority;
+mod request;
 mod target;
 
-pub use ask::{AdapterRef, ClientRequest, ForwardedRequest, PromptSegment, TokenCounts};
 pub use comfreyhall_protocol::{Map, Set};
 pub use comfreyhall_workspace::{
     Allowance, KeyHash, KeyHasher, PresentedKey, Quota, QuotaUnit, RawNumber, RawUnit, Salt,
@@ -23,7 +22,8 @@
     Caller, Config, EngineConfig, Model, RequestLimits, Route, RouteKind, Service, TrafficShare,
 };
 pub use outcome::{Answer, Outcome, Refusal, SendHistory, answer_for, answer_quarantined};
-pub use ranks::PriorityTable;
+pub use priority::PriorityTable;
+pub use request::{AdapterRef, ClientRequest, ForwardedRequest, PromptSegment, TokenCounts};
 pub use target::{LoadedModel, Stage, Target};
 
 /// A shared, immutable string.
--- a/crates/comfreyhall-inforce/src/lib.rs
+++ b/crates/comfreyhall-inforce/src/lib.rs
@@ -12,9 +12,9 @@
 //! All functions take the time as an argument, in ms of the daemon's steady clock,
 //! and perform no network I/O.
 
-mod in_force;
+mod tracker;
 
-pub use in_force::{AppliedVersion, CatchUp, Freshness, NewerVersion, SettingsTracker, Source};
+pub use tracker::{AppliedVersion, CatchUp, Freshness, NewerVersion, SettingsTracker, Source};
 
 #[cfg(test)]
 mod tests;
