--- a/crates/comfreyhall-workspace/tests/fleet/mod.rs
+++ b/crates/comfreyhall-workspace/tests/fleet/mod.rs
@@ -58,7 +58,7 @@
 
 /// A request on its way to a target.
 struct Sent {
-    at: u64,
+    at_ms: u64,
     workspace: usize,
     size: u64,
     daemon: usize,
@@ -106,7 +106,7 @@
 
 /// A request that ran at a target.
 pub struct Run {
-    pub at: u64,
+    pub at_ms: u64,
     pub workspace: usize,
     pub size: u64,
 }
@@ -135,7 +135,7 @@
     pub runs: Vec<Run>,
     pub refused: Vec<u64>,
     pub unknown: Vec<u64>,
-    pub asked: Vec<u64>,
+    pub requested: Vec<u64>,
     /// Demand of each workspace, relative to its quota.
     pub demand: Vec<f64>,
     /// Daemons that receive the requests; all if it is empty.
@@ -145,13 +145,13 @@
 fn limiter(
     policy: Policy,
     tolerance: Tolerance,
-    coordinator: PeerProcess,
+    local: PeerProcess,
     now: u64,
 ) -> Box<dyn RateLimiter> {
     match policy {
-        Policy::Lending => Box::new(LendingLimiter::new(coordinator, tolerance, now)),
-        Policy::Sharing => Box::new(SharingLimiter::new(coordinator, tolerance)),
-        Policy::Granting => Box::new(GrantingLimiter::new(coordinator)),
+        Policy::Lending => Box::new(LendingLimiter::new(local, tolerance, now)),
+        Policy::Sharing => Box::new(SharingLimiter::new(local, tolerance)),
+        Policy::Granting => Box::new(GrantingLimiter::new(local)),
     }
 }
 
@@ -232,7 +232,7 @@
             runs: Vec::new(),
             refused: vec![0; count],
             unknown: vec![0; count],
-            asked: vec![0; count],
+            requested: vec![0; count],
             demand: vec![0.0; count],
             busy_daemons: Vec::new(),
         };
@@ -352,7 +352,7 @@
             }
         }
         for workspace in 0..self.demand.len() {
-            self.requests(workspace);
+            self.generate_requests(workspace);
         }
         self.run_due();
     }
@@ -380,8 +380,8 @@
         }
         let holders = self.holders;
         for id in running {
-            let heard_at = holders.iter().filter(|h| self.is_running(**h));
-            let heard_at: Vec<usize> = heard_at
+            let reachable = holders.iter().filter(|h| self.is_running(**h));
+            let reachable: Vec<usize> = reachable
                 .copied()
                 .filter(|h| self.connected(id, *h))
                 .collect();
@@ -400,7 +400,7 @@
             daemon.version = shared.version;
             daemon
                 .heard_at
-                .extend(heard_at.into_iter().map(|h| (h, now)));
+                .extend(reachable.into_iter().map(|h| (h, now)));
         }
         let all = self.daemons.iter().all(|d| d.up && d.applied == newest);
         if all && self.fully_applied_at[newest].is_none() {
@@ -515,7 +515,7 @@
         }
     }
 
-    fn requests(&mut self, workspace: usize) {
+    fn generate_requests(&mut self, workspace: usize) {
         let quota = self.configs.last().expect("there is a configuration").1[workspace];
         let mut due = quota.rate * self.demand[workspace] * STEP_MS as f64 / 1_000.0;
         while due > 0.0 {
@@ -529,13 +529,13 @@
                 n => self.busy_daemons[self.rng.random_range(0..n)].min(self.daemon_count() - 1),
             };
             if self.is_running(id) {
-                self.request(id, workspace, size);
+                self.send_request(id, workspace, size);
             }
         }
     }
 
-    fn request(&mut self, id: usize, workspace: usize, size: u64) {
-        self.asked[workspace] += size;
+    fn send_request(&mut self, id: usize, workspace: usize, size: u64) {
+        self.requested[workspace] += size;
         let name = format!("w{workspace}");
         let now = self.now;
         self.daemons[id].limiter.record_demand(&name, size, now);
@@ -550,7 +550,7 @@
             ReserveOutcome::Granted => {
                 let wait = self.rng.random_range(0..=MAX_SEND_DELAY_MS);
                 self.sent.push(Sent {
-                    at: now + wait,
+                    at_ms: now + wait,
                     workspace,
                     size,
                     daemon: id,
@@ -568,7 +568,7 @@
     fn run_due(&mut self) {
         let (due, later) = std::mem::take(&mut self.sent)
             .into_iter()
-            .partition(|s| s.at <= self.now && self.is_running(s.daemon));
+            .partition(|s| s.at_ms <= self.now && self.is_running(s.daemon));
         self.sent = later;
         for sent in due {
             let daemon = &mut self.daemons[sent.daemon];
@@ -579,7 +579,7 @@
                 .limiter
                 .mark_sent(&format!("w{}", sent.workspace), sent.size);
             self.runs.push(Run {
-                at: self.now,
+                at_ms: self.now,
                 workspace: sent.workspace,
                 size: sent.size,
             });
@@ -598,11 +598,11 @@
         let (mut first, mut sum) = (0, 0);
         for last in 0..runs.len() {
             sum += runs[last].size;
-            while runs[last].at - runs[first].at >= self.tolerance.window_ms {
+            while runs[last].at_ms - runs[first].at_ms >= self.tolerance.window_ms {
                 sum -= runs[first].size;
                 first += 1;
             }
-            let allowed = self.allowed(workspace, runs[last].at);
+            let allowed = self.allowed(workspace, runs[last].at_ms);
             if sum as f64 / allowed > worst.0 / worst.1 {
                 worst = (sum as f64, allowed);
             }
@@ -633,7 +633,7 @@
 
     pub fn units_run(&self, workspace: usize, from: u64, to: u64) -> f64 {
         let runs = self.runs.iter().filter(|r| r.workspace == workspace);
-        let runs = runs.filter(|r| r.at >= from && r.at < to);
+        let runs = runs.filter(|r| r.at_ms >= from && r.at_ms < to);
         runs.map(|r| r.size as f64).sum()
     }
 }
--- a/crates/comfreyhall-workspace/tests/steady.rs
+++ b/crates/comfreyhall-workspace/tests/steady.rs
@@ -27,7 +27,7 @@
         world.run(30_000);
         for workspace in 0..2 {
             let refused = world.refused[workspace] + world.unknown[workspace];
-            let part = refused as f64 / world.asked[workspace] as f64;
+            let part = refused as f64 / world.requested[workspace] as f64;
             assert!(part < 0.01, "seed {seed}, workspace {workspace}: {part}");
         }
     }
@@ -54,10 +54,7 @@
             "seed {seed}: {max_units} of {allowed}"
         );
         let small_refused = world.refused[1] + world.unknown[1];
-        let part = small_refused as f64 / world.asked[1] as f64;
-        assert!(
-            part < 0.01,
-            "seed {seed}: {part} of the small_refused refused"
-        );
+        let part = small_refused as f64 / world.requested[1] as f64;
+        assert!(part < 0.01, "seed {seed}: {part} of the other refused");
     }
 }
