--- a/crates/comfreyhall-workspace/src/entry.rs
+++ b/crates/comfreyhall-workspace/src/entry.rs
@@ -1,10 +1,11 @@
-//! Reading workspaces as an operator wrote them.
+//! Reads workspaces as an operator wrote them.
 //!
-//! A configuration that is in force may say odd things. Refusing all of it
-//! would leave keys in force that were taken back; reading it as meant well
-//! would let a workspace use what it may not. So each entry is read part by
-//! part on the safe side, and every oddity is named: where a change is made
-//! through our own interface, one of them refuses it.
+//! An active configuration may contain invalid values. Rejecting all of it
+//! would leave revoked keys active; guessing what was meant could let a
+//! workspace use more than it may. So each entry is read field by field, an
+//! invalid field gets its most restrictive meaning, and every problem is
+//! reported. When a change is made through our own interface, any problem
+//! rejects it.
 
 use std::sync::Arc;
 
@@ -13,133 +14,139 @@
 
 use crate::{Allowance, KeyHash, KeyHasher, Name, Quota, QuotaUnit, Workspace, Workspaces};
 
-/// Least urgent rank.
+/// Lowest priority.
 const LEAST_URGENT: u8 = 9;
 
-/// A number as it was written.
+/// A number as written in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum RawNumber {
-    /// Left out.
+    /// Not given.
     #[default]
     Absent,
-    /// This number.
+    /// A number.
     Number(f64),
-    /// Something that is no number.
+    /// Not a number.
     Invalid,
 }
 
-/// A unit as it was written.
+/// A quota unit as written in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RawUnit {
-    /// Requests, also if it was left out.
+    /// Requests; also the default if no unit is given.
     #[default]
     Requests,
     /// Tokens.
     Tokens,
-    /// Something else.
+    /// Neither of these.
     Invalid,
 }
 
-/// One workspace as it was written.
+/// One workspace as written in the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WorkspaceEntry {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its keys.
+    /// Hashes of its API keys.
     pub keys: Vec<KeyHash>,
-    /// Keys that are no text.
+    /// Number of keys that are not strings.
     pub invalid_keys: usize,
-    /// Its rank.
+    /// Rank among workspaces; 0 is first.
     pub rank: RawNumber,
-    /// What its cap counts.
+    /// What its quota counts.
     pub unit: RawUnit,
-    /// What a request without a size counts as.
+    /// Number of tokens that a request of unknown size counts as.
     pub default_tokens: RawNumber,
-    /// Units a second.
+    /// Units per second.
     pub rate: RawNumber,
-    /// Units more at once.
+    /// Units beyond the rate that may be used at once.
     pub burst: RawNumber,
 }
 
-/// What is odd about an entry.
+/// A problem found in an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EntryProblem {
-    /// It has no name.
-    #[error("a workspace has no name, so its keys are refused; give it one")]
+    /// The workspace has no name.
+    #[error("a workspace has no name, so its keys are rejected; give it a name")]
     MissingName,
-    /// Two entries have one name.
+    /// Two entries have the same name.
     #[error(
-        "workspace {0} is listed twice: the lower cap counts for the keys of both; \
-         write one entry"
+        "workspace {0} is listed twice: the lower quota applies to the keys of both; \
+         merge the entries"
     )]
     DuplicateName(String),
     /// A key belongs to two workspaces.
     #[error(
-        "workspaces {first} and {second} have a key in common, so it is refused; \
-         give each a key of its own"
+        "workspaces {first} and {second} share a key, so it is rejected; \
+         give each workspace its own key"
     )]
     SharedKey {
-        /// The one.
+        /// The workspace listed first.
         first: String,
-        /// The other.
+        /// The other workspace.
         second: String,
     },
-    /// A key is no text.
-    #[error("workspace {0} has a key that is no text, so it is refused; write it as text")]
+    /// A key is not a string.
+    #[error(
+        "workspace {0} has a key that is not a string, so it is rejected; write it as a string"
+    )]
     InvalidKey(String),
-    /// The rank is none.
+    /// The rank is out of range or not a whole number.
     #[error(
-        "the rank of workspace {0} is no whole number from 0 to 9, so it comes last; \
-         give one, or leave it out for its routes' own"
+        "the rank of workspace {0} is not a whole number from 0 to 9, so it gets the lowest priority; \
+         set a rank, or leave it out to use the priorities of the routes"
     )]
     InvalidRank(String),
-    /// The rate or the burst is no number of units.
+    /// The rate or the burst is not a valid number of units.
     #[error(
-        "the {field} of workspace {name} is no number of 0 or more, so it may use nothing; \
-         give one, or leave the rate out for no cap"
+        "the {field} of workspace {name} is not a number of 0 or more, so all its requests are refused; \
+         correct it, or leave the rate out for no quota"
     )]
     InvalidQuota {
-        /// The workspace.
+        /// Name of the workspace.
         name: String,
-        /// Which of the two.
+        /// Name of the invalid field.
         field: &'static str,
     },
     /// The unit is unknown.
-    #[error("the unit of workspace {0} is unknown, so it may use nothing; use requests or tokens")]
+    #[error(
+        "the unit of workspace {0} is unknown, so all its requests are refused; use requests or tokens"
+    )]
     InvalidUnit(String),
-    /// What a request without a size counts as is no number.
+    /// The default number of tokens is missing or not a valid number.
     #[error(
-        "workspace {0} does not say in whole tokens what a request without a size counts as, \
-         so each counts as a second of its rate; give a number above 0"
+        "workspace {0} does not set how many whole tokens a request of unknown size counts as, \
+         so each counts as one second of its rate; set a number above 0"
     )]
     InvalidDefault(String),
 }
 
-/// Reads `entries`, whose keys `hasher` has hashed; also what is odd in them.
+/// Converts `entries` into workspaces and returns the problems found in them.
+/// The keys in `entries` were hashed by `hasher`.
 pub fn read_entries(
     hasher: KeyHasher,
     entries: Vec<WorkspaceEntry>,
 ) -> (Workspaces, Vec<EntryProblem>) {
-    let mut reading = Reading::default();
+    let mut reader = EntryReader::default();
     for entry in entries {
-        reading.take(entry);
+        reader.read_entry(entry);
     }
-    reading.finish(hasher)
+    reader.finish(hasher)
 }
 
-/// Entries read so far.
+/// Accumulates the entries read so far.
 #[derive(Default)]
-struct Reading {
+struct EntryReader {
     all: Vec<Workspace>,
-    /// Place in `all` by name.
-    places: Map<Name, usize>,
-    /// Whose each key is; `None` for a key of two.
+    /// Index in `all`, by name.
+    indices: Map<Name, usize>,
+    /// Index of the workspace that owns each key; `None` if two workspaces list
+    /// it.
     keys: Map<KeyHash, Option<usize>>,
     problems: Vec<EntryProblem>,
 }
 
-impl Reading {
-    fn take(&mut self, entry: WorkspaceEntry) {
+impl EntryReader {
+    fn read_entry(&mut self, entry: WorkspaceEntry) {
         if entry.name.is_empty() {
             self.problems.push(EntryProblem::MissingName);
             return;
@@ -153,39 +160,41 @@
             rank: self.rank(&entry),
             allowance: self.allowance(&entry),
         };
-        let place = self.place(workspace);
+        let index = self.insert_or_merge(workspace);
         for key in entry.keys {
-            self.give(key, place);
+            self.assign_key(key, index);
         }
     }
 
-    /// Where `workspace` stands in `all`.
-    fn place(&mut self, workspace: Workspace) -> usize {
-        if let Some(place) = self.places.get(&workspace.name).copied() {
+    /// Adds `workspace`, or merges it into an earlier entry of the same name,
+    /// and returns its index in `all`.
+    fn insert_or_merge(&mut self, workspace: Workspace) -> usize {
+        if let Some(index) = self.indices.get(&workspace.name).copied() {
             self.problems
                 .push(EntryProblem::DuplicateName(workspace.name.to_string()));
-            let known = &mut self.all[place];
+            let known = &mut self.all[index];
             known.allowance = stricter(known.allowance, workspace.allowance);
             known.rank = known.rank.max(workspace.rank);
-            return place;
+            return index;
         }
-        let place = self.all.len();
-        self.places.insert(workspace.name.clone(), place);
+        let index = self.all.len();
+        self.indices.insert(workspace.name.clone(), index);
         self.all.push(workspace);
-        place
+        index
     }
 
-    /// Gives `key` to the workspace at `place`, unless another has it.
-    fn give(&mut self, key: KeyHash, place: usize) {
+    /// Assigns `key` to the workspace at `index`, or to none if another
+    /// workspace has it.
+    fn assign_key(&mut self, key: KeyHash, index: usize) {
         match self.keys.get(&key).copied() {
             None => {
-                self.keys.insert(key, Some(place));
+                self.keys.insert(key, Some(index));
             }
-            Some(Some(other)) if other != place => {
+            Some(Some(other)) if other != index => {
                 self.keys.insert(key, None);
                 self.problems.push(EntryProblem::SharedKey {
                     first: self.all[other].name.to_string(),
-                    second: self.all[place].name.to_string(),
+                    second: self.all[index].name.to_string(),
                 });
             }
             Some(_) => {}
@@ -220,7 +229,7 @@
         let unit = match entry.unit {
             RawUnit::Requests => QuotaUnit::Requests,
             RawUnit::Tokens => QuotaUnit::Tokens {
-                default_tokens: self.plain(entry, rate),
+                default_tokens: self.default_tokens(entry, rate),
             },
             RawUnit::Invalid => {
                 self.problems
@@ -231,14 +240,14 @@
         Allowance::Limited(Quota { unit, rate, burst })
     }
 
-    /// A number of units; `None` if it is none.
+    /// The number of units; `None` if it is invalid.
     fn units(
         &mut self,
         entry: &WorkspaceEntry,
         field: &'static str,
-        given: RawNumber,
+        raw: RawNumber,
     ) -> Option<f64> {
-        match given {
+        match raw {
             RawNumber::Absent => Some(0.0),
             RawNumber::Number(n) if n.is_finite() && n >= 0.0 => Some(n),
             RawNumber::Number(_) | RawNumber::Invalid => {
@@ -251,7 +260,7 @@
         }
     }
 
-    fn plain(&mut self, entry: &WorkspaceEntry, rate: f64) -> u64 {
+    fn default_tokens(&mut self, entry: &WorkspaceEntry, rate: f64) -> u64 {
         match entry.default_tokens {
             RawNumber::Number(n) if n.is_finite() && n >= 1.0 => n as u64,
             RawNumber::Absent | RawNumber::Number(_) | RawNumber::Invalid => {
@@ -264,14 +273,14 @@
 
     fn finish(self, hasher: KeyHasher) -> (Workspaces, Vec<EntryProblem>) {
         let all: Vec<Arc<Workspace>> = self.all.into_iter().map(Arc::new).collect();
-        let owned = self.keys.into_iter();
-        let owned = owned.filter_map(|(key, place)| Some((key, all[place?].clone())));
-        let by_key = owned.collect();
+        let assigned = self.keys.into_iter();
+        let assigned = assigned.filter_map(|(key, index)| Some((key, all[index?].clone())));
+        let by_key = assigned.collect();
         (Workspaces::new(hasher, by_key, all), self.problems)
     }
 }
 
-/// The allowance that permits less.
+/// Combines two allowances into one that permits no more than either.
 fn stricter(a: Allowance, b: Allowance) -> Allowance {
     match (a, b) {
         (Allowance::Unlimited, other) | (other, Allowance::Unlimited) => other,
@@ -282,7 +291,7 @@
                 unit: a.unit,
             })
         }
-        // Caps in two units cannot be compared.
+        // Quotas in different units cannot be compared.
         _ => Allowance::Denied,
     }
 }
