--- a/crates/comfreyhall-node/src/outbound/availability.rs
+++ b/crates/comfreyhall-node/src/outbound/availability.rs
@@ -49,12 +49,12 @@
     let states = targets.iter().take(MAX_LISTED_TARGETS).map(|t| {
         let id = &t.id;
         if signals.is_draining(id, now) {
-            return format!("{id} is draining");
+            return format!("{id} leaves");
         }
         match (signals.cooldown_ms(id, now), signals.limit(id, now)) {
-            (0, Some(limit)) => format!("{id} is limited to {} requests per second", limit.per_s()),
-            (0, None) => format!("{id} announced nothing"),
-            (ms, _) => format!("{id} is in cooldown for {ms} ms"),
+            (0, Some(limit)) => format!("{id} takes {} a second", limit.per_s()),
+            (0, None) => format!("{id} said nothing"),
+            (ms, _) => format!("{id} rests for {ms} ms"),
         }
     });
     let states: Vec<String> = states.collect();
--- a/crates/comfreyhall-node/src/quarantine/log.rs
+++ b/crates/comfreyhall-node/src/quarantine/log.rs
@@ -8,7 +8,7 @@
 pub(super) fn ends(ends: &[TargetEnd], now: u64) -> String {
     let one = |e: &TargetEnd| {
         let age = now.saturating_sub(e.at_ms);
-        format!("{} {age} ms ago, reported by {}", e.target, e.observer)
+        format!("{} {age} ms ago, told by {}", e.target, e.observer)
     };
     let all: Vec<String> = ends.iter().map(one).collect();
     all.join("; ")
@@ -52,5 +52,5 @@
         Observation::Completed => "it ran whole",
         Observation::TargetEnded { .. } => "another request explains what ended",
     };
-    format!("{what}, {age} ms ago, reported by {}", evidence.observer)
+    format!("{what}, {age} ms ago, told by {}", evidence.observer)
 }
