--- a/crates/comfreyhall-daemon/src/app.rs
+++ b/crates/comfreyhall-daemon/src/app.rs
@@ -10,7 +10,7 @@
 
 use comfreyhall_catalog::{Catalog, Follower, Labels, Table};
 use comfreyhall_lease::Lease;
-use comfreyhall_life::{Life, Stage};
+use comfreyhall_life::{Lifecycle, Stage};
 use comfreyhall_once::IdempotencyClaims;
 use comfreyhall_placement::{EngineView, Policy};
 use comfreyhall_protocol::{
@@ -49,7 +49,7 @@
     pub(crate) peers: Map<Arc<str>, PeerClient<Channel>>,
     pub(crate) labels: Labels,
     pub(crate) members: Members,
-    pub(crate) life: Life,
+    pub(crate) life: Lifecycle,
     pub(crate) started: Instant,
     pub(crate) idle: Notify,
     pub(crate) counters: Counters,
@@ -112,7 +112,7 @@
                 peers,
                 labels,
                 members: Members::default(),
-                life: Life::new(),
+                life: Lifecycle::new(),
                 started: Instant::now(),
                 idle: Notify::new(),
                 counters: Counters::default(),
--- a/crates/comfreyhall-daemon/src/http/mod.rs
+++ b/crates/comfreyhall-daemon/src/http/mod.rs
@@ -42,11 +42,11 @@
         .merge(tonic::service::Routes::new(peers).into_axum_router());
     let stopped = {
         let app = app.clone();
-        async move { app.inner.life.reached(Stage::Stopped).await }
+        async move { app.inner.life.wait_for_stage(Stage::Stopped).await }
     };
     let server = axum::serve(listener, router).with_graceful_shutdown(stopped);
     let closed = async {
-        app.inner.life.reached(Stage::Stopped).await;
+        app.inner.life.wait_for_stage(Stage::Stopped).await;
         tokio::time::sleep(CLOSE_LIMIT).await;
     };
     // Every answer is written by now; an idle connection that a caller keeps
@@ -72,7 +72,7 @@
             app.inner.life.handle(Event::Stop);
         }
     });
-    app.inner.life.reached(Stage::Leaving).await;
+    app.inner.life.wait_for_stage(Stage::Leaving).await;
     let tuning = &app.inner.settings.tuning;
     if let Err(e) = member::beat(&app).await {
         log::warn!(target: "member", "leaving not written: {e}");
--- a/crates/comfreyhall-life/src/lib.rs
+++ b/crates/comfreyhall-life/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon's life cycle, driven by the chart in `charts/instance.jsonc`.
+//! The daemon's lifecycle: a state machine read from `charts/instance.jsonc`.
 //!
-//! The chart says which event leads from which stage to which; statig runs
-//! it. An event that the chart does not list for a stage changes nothing, so
-//! a second stop, or a late sync while leaving, is harmless.
+//! The chart lists, for each stage, which event leads to which next stage;
+//! statig runs it. An event that the chart does not list for a stage is
+//! ignored, so a second stop, or a configuration read while draining, is
+//! harmless.
 
 use std::sync::Mutex;
 
@@ -14,15 +15,15 @@
 };
 use tokio::sync::watch;
 
-const CHART: &str = include_str!("../charts/instance.jsonc");
+const CHART_JSON: &str = include_str!("../charts/instance.jsonc");
 
-/// Where a daemon is in its life.
+/// Stage of a daemon's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// No configuration is known yet.
+    /// No configuration has been read yet.
     Starting,
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
     /// A planned stop was asked for.
     Leaving,
@@ -30,7 +31,7 @@
     Stopped,
 }
 
-/// What moves a daemon through its life.
+/// Event that can move a daemon to another stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
@@ -49,11 +50,12 @@
     states: Map<Stage, Map<Event, Stage>>,
 }
 
-fn chart() -> Chart {
-    json5::from_str(CHART).expect("the built-in chart parses; a test reads it")
+fn parse_chart() -> Chart {
+    json5::from_str(CHART_JSON).expect("the built-in chart parses; a test reads it")
 }
 
-/// The machine statig runs: it only consults the chart.
+/// State machine context for statig; every transition is looked up in the
+/// chart.
 struct Machine {
     chart: Chart,
 }
@@ -65,11 +67,11 @@
     type Superstate<'sub> = NoSuperstate;
 
     fn initial() -> Stage {
-        chart().initial
+        parse_chart().initial
     }
 }
 
-/// The chart is flat.
+/// The chart is flat, so there are no superstates.
 struct NoSuperstate;
 
 impl Superstate<Machine> for NoSuperstate {
@@ -85,50 +87,53 @@
     }
 }
 
-/// The life of this daemon; its stage can be watched.
-pub struct Life {
+/// Lifecycle of this daemon; changes of its stage can be awaited.
+pub struct Lifecycle {
     machine: Mutex<StateMachine<Machine>>,
     stage: watch::Sender<Stage>,
 }
 
-impl Default for Life {
+impl Default for Lifecycle {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Life {
-    /// A life at the chart's first stage.
+impl Lifecycle {
+    /// A lifecycle at the chart's initial stage.
     pub fn new() -> Self {
-        let machine = Machine { chart: chart() }.state_machine();
+        let machine = Machine {
+            chart: parse_chart(),
+        }
+        .state_machine();
         Self {
             machine: Mutex::new(machine),
             stage: watch::Sender::new(Machine::initial()),
         }
     }
 
-    /// Feeds one event to the chart.
+    /// Applies one event to the chart.
     pub fn handle(&self, event: Event) {
         let mut machine = self.machine.lock().expect("no holder of this lock panics");
         machine.handle(&event);
         let next = *machine.state();
         self.stage.send_if_modified(|stage| {
-            let moved = *stage != next;
-            if moved {
+            let changed = *stage != next;
+            if changed {
                 log::info!(target: "daemon", "{stage:?} became {next:?} on {event:?}");
             }
             *stage = next;
-            moved
+            changed
         });
     }
 
-    /// The stage it is at.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Waits until the daemon is at `stage`.
-    pub async fn reached(&self, stage: Stage) {
+    /// Waits until the daemon reaches `stage`.
+    pub async fn wait_for_stage(&self, stage: Stage) {
         let mut watch = self.stage.subscribe();
         let _ = watch.wait_for(|s| *s == stage).await;
     }
--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -176,8 +176,8 @@
         let mut leases: Map<Name, Arc<Lease<R>>> = Map::default();
         // Which groups there are is known once it serves.
         tokio::select! {
-            () = node.life.reached(comfreyhall_life::Stage::Serving) => {}
-            () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
+            () = node.life.wait_for_stage(comfreyhall_life::Stage::Serving) => {}
+            () = node.life.wait_for_stage(comfreyhall_life::Stage::Leaving) => {}
         }
         let former = former(&node, &rows).await;
         loop {
@@ -207,7 +207,7 @@
             }
             tokio::select! {
                 () = tokio::time::sleep(term / STEPS) => {}
-                () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
+                () = node.life.wait_for_stage(comfreyhall_life::Stage::Leaving) => {}
             }
         }
     });
--- a/crates/comfreyhall-node/src/members.rs
+++ b/crates/comfreyhall-node/src/members.rs
@@ -75,7 +75,7 @@
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
+            () = node.life.wait_for_stage(comfreyhall_life::Stage::Leaving) => {}
         }
     }
     if let Err(e) = rows.commit(Vec::new(), vec![delete(&key)]).await {
--- a/crates/comfreyhall-node/src/node.rs
+++ b/crates/comfreyhall-node/src/node.rs
@@ -9,7 +9,7 @@
 };
 
 use comfreyhall_domain::{AdapterRef, Config, Map, Name, PriorityTable, Target};
-use comfreyhall_life::{Life, Stage};
+use comfreyhall_life::{Lifecycle, Stage};
 use comfreyhall_placement::{Demand, HoldTime, engines_needed};
 use comfreyhall_routing::{PrefixIndex, Residency, RetryBudget, TargetStats};
 use comfreyhall_settings::{NodeSettings, Policies};
@@ -195,7 +195,7 @@
     pub(crate) settings: Mutex<Arc<NodeSettings>>,
     pub(crate) source: Arc<dyn Source>,
     pub(crate) backend: Arc<dyn Backend>,
-    pub(crate) life: Life,
+    pub(crate) life: Lifecycle,
     pub(crate) leases: Leases,
     pub(crate) fleet: Fleet,
     pub(crate) controllers: EngineControllers,
@@ -232,7 +232,7 @@
             settings: Mutex::new(Arc::new(settings)),
             source,
             backend,
-            life: Life::new(),
+            life: Lifecycle::new(),
             leases: Leases::default(),
             controllers: EngineControllers::default(),
             metrics: Metrics::new(),
