--- a/crates/comfreyhall-daemon/src/app.rs
+++ b/crates/comfreyhall-daemon/src/app.rs
@@ -1,4 +1,4 @@
-//! The state the daemon's tasks share.
+//! The state shared by the daemon's tasks.
 
 use std::{
     sync::{
@@ -23,8 +23,8 @@
 use tonic::transport::Channel;
 
 use crate::{
-    demand::Demands, engines, member::Members, metrics::Metrics, outbound::Outbound,
-    quarantine::Watch, stats::Counters, stuck::Stuck,
+    demand::DemandCounter, engines, member::Members, metrics::Metrics, outbound::Outbound,
+    quarantine::SharedQuarantine, stats::Counters, stuck::StuckLoads,
 };
 
 /// Shared daemon state; cheap to clone.
@@ -38,35 +38,35 @@
     pub(crate) settings: Settings,
     pub(crate) table: Table,
     pub(crate) follower: Follower,
-    pub(crate) once: IdempotencyClaims,
+    pub(crate) claims: IdempotencyClaims,
     pub(crate) objects: ObjectsClient<Channel>,
-    pub(crate) listing: InstancesClient<Channel>,
-    pub(crate) clients: Vec<EngineClient<Channel>>,
-    pub(crate) plain: Vec<PlainClient<Channel>>,
-    /// The lease on load orders.
+    pub(crate) instance_list: InstancesClient<Channel>,
+    pub(crate) engine_clients: Vec<EngineClient<Channel>>,
+    pub(crate) service_clients: Vec<PlainClient<Channel>>,
+    /// The lease on load commands.
     pub(crate) lease: Lease,
-    /// Every other daemon, by instance id.
+    /// All other daemons, by instance id.
     pub(crate) peers: Map<Arc<str>, PeerClient<Channel>>,
     pub(crate) labels: Labels,
     pub(crate) members: Members,
-    pub(crate) life: Lifecycle,
+    pub(crate) lifecycle: Lifecycle,
     pub(crate) started: Instant,
     pub(crate) idle: Notify,
     pub(crate) counters: Counters,
     pub(crate) metrics: Metrics,
-    pub(crate) stuck: Stuck,
-    pub(crate) quarantine: Watch,
-    /// What targets say of themselves.
+    pub(crate) stuck_loads: StuckLoads,
+    pub(crate) quarantine: SharedQuarantine,
+    /// Limits, cooldowns and draining announced by targets.
     pub(crate) outbound: Outbound,
-    /// Which boot of each engine answered last.
-    pub(crate) boots: Vec<AtomicU64>,
-    pub(crate) demand: Demands,
+    /// The boot (one start of its process) of each engine that answered last.
+    pub(crate) engine_boots: Vec<AtomicU64>,
+    pub(crate) demand: DemandCounter,
     /// Whether a background copy is in flight.
-    pub(crate) copying: AtomicBool,
+    pub(crate) copy_in_flight: AtomicBool,
     view: Mutex<Vec<EngineView>>,
     policy: Mutex<Box<dyn Policy>>,
     in_flight: AtomicUsize,
-    cancels: Mutex<Cancels>,
+    cancel_registry: Mutex<CancelRegistry>,
 }
 
 impl App {
@@ -79,12 +79,12 @@
         let catalog = Catalog::new(table.clone(), &instance.id);
         let kind = policy.unwrap_or(settings.tuning.policy);
         let policy = comfreyhall_placement::build_policy(kind, settings.tuning.half_life_ms);
-        let clients = settings
+        let engine_clients = settings
             .engines
             .iter()
             .map(|e| EngineClient::new(link::channel(&e.listen)))
             .collect();
-        let plain = settings
+        let service_clients = settings
             .services
             .iter()
             .map(|s| PlainClient::new(link::channel(&s.listen)))
@@ -102,45 +102,46 @@
         Ok(Self {
             inner: Arc::new(Inner {
                 follower: Follower::new(catalog),
-                once: IdempotencyClaims::new(table.clone(), instance.id.clone()),
+                claims: IdempotencyClaims::new(table.clone(), instance.id.clone()),
                 table,
                 objects: ObjectsClient::new(link::channel(&settings.platform.objects)),
-                listing: InstancesClient::new(link::channel(&settings.platform.instances)),
-                clients,
-                plain,
+                instance_list: InstancesClient::new(link::channel(&settings.platform.instances)),
+                engine_clients,
+                service_clients,
                 lease,
                 peers,
                 labels,
                 members: Members::default(),
-                life: Lifecycle::new(),
+                lifecycle: Lifecycle::new(),
                 started: Instant::now(),
                 idle: Notify::new(),
                 counters: Counters::default(),
                 metrics: Metrics::new(),
-                stuck: Stuck::default(),
-                quarantine: Watch::default(),
+                stuck_loads: StuckLoads::default(),
+                quarantine: SharedQuarantine::default(),
                 outbound: Outbound::default(),
-                boots: settings.engines.iter().map(|_| AtomicU64::new(0)).collect(),
-                demand: Demands::default(),
-                copying: AtomicBool::new(false),
+                engine_boots: settings.engines.iter().map(|_| AtomicU64::new(0)).collect(),
+                demand: DemandCounter::default(),
+                copy_in_flight: AtomicBool::new(false),
                 view: Mutex::new(view),
                 policy: Mutex::new(policy),
                 in_flight: AtomicUsize::new(0),
-                cancels: Mutex::default(),
+                cancel_registry: Mutex::default(),
                 settings,
             }),
             instance: Arc::new(instance),
         })
     }
 
-    /// Milliseconds since the daemon started; the policies' clock.
+    /// Milliseconds since the daemon started; the clock of the placement
+    /// policies.
     pub(crate) fn now_ms(&self) -> u64 {
         self.inner.started.elapsed().as_millis() as u64
     }
 
     /// The boot of an engine that answered last.
     pub(crate) fn boot(&self, engine: usize) -> u64 {
-        self.inner.boots[engine].load(Ordering::Relaxed)
+        self.inner.engine_boots[engine].load(Ordering::Relaxed)
     }
 
     pub(crate) fn view(&self) -> MutexGuard<'_, Vec<EngineView>> {
@@ -157,88 +158,92 @@
             .expect("no holder of this lock panics")
     }
 
-    pub(crate) fn leaving(&self) -> bool {
-        matches!(self.inner.life.stage(), Stage::Leaving | Stage::Stopped)
+    pub(crate) fn is_draining(&self) -> bool {
+        matches!(
+            self.inner.lifecycle.stage(),
+            Stage::Leaving | Stage::Stopped
+        )
     }
 
     pub(crate) fn in_flight(&self) -> usize {
         self.inner.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Counts a request in progress until the guard drops.
+    /// Counts a request as in progress until the guard drops.
     ///
-    /// Count first, then read the stage: a stop that came between would
-    /// otherwise find nothing in progress and end the process under a
-    /// request that had just been let in.
-    pub(crate) fn track(&self) -> Tracked {
+    /// Call this before reading the stage: a stop between the two would
+    /// otherwise find nothing in progress and end the process while a request
+    /// that was just admitted runs.
+    pub(crate) fn track_request(&self) -> InFlightGuard {
         self.inner.in_flight.fetch_add(1, Ordering::SeqCst);
-        Tracked { app: self.clone() }
+        InFlightGuard { app: self.clone() }
     }
 
-    /// Registers a request that a caller may cancel by id.
-    pub(crate) fn cancellable(&self, id: &str) -> (Cancellable, CancellationToken) {
+    /// Registers a request that its caller may cancel by id.
+    pub(crate) fn register_cancel(&self, id: &str) -> (CancelGuard, CancellationToken) {
         let token = CancellationToken::new();
-        let mut cancels = self.cancels();
-        cancels.next += 1;
-        let serial = cancels.next;
+        let mut cancel_registry = self.cancel_registry();
+        cancel_registry.next_serial += 1;
+        let serial = cancel_registry.next_serial;
         let entry = (id.to_string(), token.clone());
-        cancels.running.insert(serial, entry);
-        let guard = Cancellable {
+        cancel_registry.requests.insert(serial, entry);
+        let guard = CancelGuard {
             app: self.clone(),
             serial,
         };
         (guard, token)
     }
 
-    /// Cancels every run of the request `id`; false if none runs here.
+    /// Cancels every run of the request `id`; false if none is in progress
+    /// here.
     pub(crate) fn cancel(&self, id: &str) -> bool {
-        let cancels = self.cancels();
+        let cancel_registry = self.cancel_registry();
         let mut found = false;
-        for (_, token) in cancels.running.values().filter(|(r, _)| r == id) {
+        for (_, token) in cancel_registry.requests.values().filter(|(r, _)| r == id) {
             token.cancel();
             found = true;
         }
         found
     }
 
-    fn cancels(&self) -> MutexGuard<'_, Cancels> {
+    fn cancel_registry(&self) -> MutexGuard<'_, CancelRegistry> {
         self.inner
-            .cancels
+            .cancel_registry
             .lock()
             .expect("no holder of this lock panics")
     }
 }
 
-/// Requests that may be cancelled, by a serial number: two attempts of one
-/// caller may bear the same request id.
+/// Requests that may be cancelled, by serial number: two attempts of one caller
+/// may have the same request id.
 #[derive(Default)]
-struct Cancels {
-    next: u64,
-    running: Map<u64, (String, CancellationToken)>,
+struct CancelRegistry {
+    next_serial: u64,
+    requests: Map<u64, (String, CancellationToken)>,
 }
 
-/// A request in progress; a planned stop waits for all of them.
-pub(crate) struct Tracked {
+/// Guard of a request in progress; a planned stop waits until all are dropped.
+pub(crate) struct InFlightGuard {
     app: App,
 }
 
-impl Drop for Tracked {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let left = self.app.inner.in_flight.fetch_sub(1, Ordering::SeqCst) - 1;
-        if left == 0 {
+        let remaining = self.app.inner.in_flight.fetch_sub(1, Ordering::SeqCst) - 1;
+        if remaining == 0 {
             self.app.inner.idle.notify_waiters();
         }
     }
 }
 
-/// Forgets a cancellable request when it ends.
-pub(crate) struct Cancellable {
+/// Unregisters a cancellable request when it ends.
+pub(crate) struct CancelGuard {
     app: App,
     serial: u64,
 }
 
-impl Drop for Cancellable {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        self.app.cancels().running.remove(&self.serial);
+        self.app.cancel_registry().requests.remove(&self.serial);
     }
 }
--- a/crates/comfreyhall-daemon/src/engines.rs
+++ b/crates/comfreyhall-daemon/src/engines.rs
@@ -1,4 +1,4 @@
-//! The status polls that keep the placement view fresh.
+//! Engine status polls, which keep the placement view current.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -12,10 +12,10 @@
     outbound::{self, Target},
 };
 
-/// Longest a status poll may take before the engine counts as down.
+/// Timeout of a status poll, after which the engine counts as down.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The view of an engine before its first poll: up, empty.
+/// The view of an engine before its first poll: up and empty.
 pub(crate) fn empty_view(engine: &Engine) -> EngineView {
     EngineView {
         id: engine.id.clone(),
@@ -27,15 +27,15 @@
     }
 }
 
-/// Builds a view from a status answer.
+/// Builds an engine's view from its status reply.
 fn view_of(engine: &Engine, status: &EngineStatus) -> EngineView {
     let slots = status
         .slots
         .iter()
-        .map(|s| SlotView {
-            key: format!("{}@{}", s.adapter, s.version).into(),
-            pins: s.pins,
-            loading: s.loading,
+        .map(|slot| SlotView {
+            key: format!("{}@{}", slot.adapter, slot.version).into(),
+            pins: slot.pins,
+            loading: slot.loading,
         })
         .collect();
     EngineView {
@@ -50,7 +50,7 @@
 
 /// Starts one poll task per engine.
 pub(crate) fn spawn_polls(app: &App) {
-    for index in 0..app.inner.clients.len() {
+    for index in 0..app.inner.engine_clients.len() {
         tokio::spawn(poll(app.clone(), index));
     }
 }
@@ -60,34 +60,34 @@
     let period = Duration::from_millis(app.inner.settings.tuning.poll_ms);
     let mut tick = tokio::time::interval(period);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut client = app.inner.clients[index].clone();
+    let mut client = app.inner.engine_clients[index].clone();
     let mut was_up = true;
     loop {
         tick.tick().await;
         let target = Target::Engine(index);
-        if outbound::closed_ms(&app, target) > 0 {
+        if outbound::unavailable_ms(&app, target) > 0 {
             continue;
         }
         let answer = tokio::time::timeout(POLL_TIMEOUT, client.status(StatusQuery {})).await;
-        let answer = answer.map(|a| outbound::hear(&app, target, None, a));
+        let answer = answer.map(|a| outbound::record_answer(&app, target, None, a));
         let status = match answer {
             Ok(Ok(reply)) => Some(reply.into_inner()),
             _ => None,
         };
-        let received = status.as_ref().map_or(0, |s| s.encoded_len());
-        app.inner.counters.control(0, received);
+        let received = status.as_ref().map_or(0, |status| status.encoded_len());
+        app.inner.counters.count_control(0, received);
         let up = status.is_some();
         if up != was_up {
             log::warn!(target: "engines", "engine {} is {}", engine.id, if up { "back" } else { "not answering" });
             was_up = up;
         }
-        if let Some(s) = &status {
-            app.inner.metrics.engine(&engine.id, s);
-            app.inner.boots[index].store(s.epoch, Ordering::Relaxed);
+        if let Some(status) = &status {
+            app.inner.metrics.record_engine(&engine.id, status);
+            app.inner.engine_boots[index].store(status.epoch, Ordering::Relaxed);
         }
         let mut view = app.view();
         match status {
-            Some(s) => view[index] = view_of(&engine, &s),
+            Some(status) => view[index] = view_of(&engine, &status),
             None => view[index].up = false,
         }
     }
--- a/crates/comfreyhall-daemon/src/error.rs
+++ b/crates/comfreyhall-daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors answered to callers: typed kinds that say whether the request ran.
+//! Errors returned to callers: typed kinds that say whether the request ran.
 
 use axum::{
     Json,
@@ -8,7 +8,7 @@
 use comfreyhall_protocol::api::{ErrorBody, ErrorDetail, Outcome};
 use thiserror::Error;
 
-/// Why a request was not answered with a completion.
+/// Why a request did not get its answer.
 #[derive(Debug, Clone, Error)]
 pub(crate) enum RouteError {
     #[error(
@@ -22,35 +22,35 @@
     #[error("adapter {0} has no version {1}; add it with `comfreyhall version add`")]
     UnknownVersion(String, String),
     #[error("the operators' rules do not admit this request; ask them to change the rules")]
-    Withdrawn,
+    NotAdmitted,
     #[error("this instance knows no configuration yet; send again after the delay")]
     Starting,
     #[error("every engine slot is in use; send again after the delay")]
     Busy,
     #[error("every target takes no more now; send again after the delay")]
-    Shut(u64),
+    Unavailable(u64),
     #[error("this instance is leaving; ask /v1/addresses for another and send there")]
-    Leaving,
+    Draining,
     #[error("the catalog could not be read ({0}); send again after the delay")]
-    CatalogDown(String),
+    CatalogUnavailable(String),
     #[error("no claim for this non-idempotent request ({0}); send again after the delay")]
-    ClaimDown(String),
+    ClaimUnavailable(String),
     #[error("no target took the request after {0} tries; send again after the delay")]
     Exhausted(u32),
     #[error("the deadline passed before the request ran; send it with a longer deadline")]
-    Late,
+    Expired,
     #[error("the deadline passed while the request ran; ask for fewer tokens or allow more time")]
-    Deadline,
+    DeadlineExceeded,
     #[error("the request was cancelled; it may have run in part")]
     Cancelled,
     #[error(
         "a target may have run the request but its answer is lost ({0}); check before sending a non-idempotent request again"
     )]
-    InDoubt(String),
+    OutcomeUnknown(String),
     #[error(
         "another attempt holds this idempotency key and its outcome is not known; ask with the same key later, or check before using a new key"
     )]
-    Held,
+    KeyHeld,
     #[error(
         "engines that ran this request ended, so it is not sent for now; change the request, or ask the operators why it ends them"
     )]
@@ -58,33 +58,33 @@
     #[error(
         "engines that ran this request ended, this attempt's among them; change the request, or ask the operators why it ends them"
     )]
-    QuarantinedInDoubt,
+    QuarantinedUnknown,
     #[error("the request ran but its answer cannot be read now; ask again with the same key")]
-    AnswerAway,
+    AnswerUnreadable,
 }
 
-/// Status and delay of an error kind.
+/// How an error is reported: its type, HTTP status, retry delay and outcome.
 struct Kind {
     name: &'static str,
     code: StatusCode,
-    retry: Option<u64>,
+    retry_ms: Option<u64>,
     outcome: Outcome,
 }
 
-fn not_run(name: &'static str, code: StatusCode, retry: Option<u64>) -> Kind {
+fn not_run(name: &'static str, code: StatusCode, retry_ms: Option<u64>) -> Kind {
     Kind {
         name,
         code,
-        retry,
+        retry_ms,
         outcome: Outcome::NotRun,
     }
 }
 
-fn unknown(name: &'static str, code: StatusCode, retry: Option<u64>) -> Kind {
+fn unknown(name: &'static str, code: StatusCode, retry_ms: Option<u64>) -> Kind {
     Kind {
         name,
         code,
-        retry,
+        retry_ms,
         outcome: Outcome::Unknown,
     }
 }
@@ -92,29 +92,29 @@
 impl RouteError {
     fn kind(&self) -> Kind {
         use RouteError::*;
-        let busy = StatusCode::SERVICE_UNAVAILABLE;
-        let late = StatusCode::GATEWAY_TIMEOUT;
+        let unavailable = StatusCode::SERVICE_UNAVAILABLE;
+        let timeout = StatusCode::GATEWAY_TIMEOUT;
         match self {
             BadModel(_) => not_run("bad_model", StatusCode::BAD_REQUEST, None),
             BadRequest(_) => not_run("bad_request", StatusCode::BAD_REQUEST, None),
             UnknownAdapter(_) => not_run("unknown_adapter", StatusCode::NOT_FOUND, None),
             UnknownVersion(..) => not_run("unknown_version", StatusCode::NOT_FOUND, None),
-            Withdrawn => not_run("withdrawn", StatusCode::FORBIDDEN, None),
-            Starting => not_run("starting", busy, Some(250)),
-            Busy => not_run("busy", busy, Some(250)),
-            Shut(ms) => not_run("shut", busy, Some(*ms)),
-            Leaving => not_run("leaving", busy, Some(0)),
-            CatalogDown(_) => not_run("catalog_down", busy, Some(1_000)),
-            ClaimDown(_) => not_run("claim_down", busy, Some(1_000)),
-            Exhausted(_) => not_run("exhausted", busy, Some(250)),
-            Late => not_run("late", late, None),
-            Deadline => unknown("deadline", late, None),
+            NotAdmitted => not_run("withdrawn", StatusCode::FORBIDDEN, None),
+            Starting => not_run("starting", unavailable, Some(250)),
+            Busy => not_run("busy", unavailable, Some(250)),
+            Unavailable(ms) => not_run("shut", unavailable, Some(*ms)),
+            Draining => not_run("leaving", unavailable, Some(0)),
+            CatalogUnavailable(_) => not_run("catalog_down", unavailable, Some(1_000)),
+            ClaimUnavailable(_) => not_run("claim_down", unavailable, Some(1_000)),
+            Exhausted(_) => not_run("exhausted", unavailable, Some(250)),
+            Expired => not_run("late", timeout, None),
+            DeadlineExceeded => unknown("deadline", timeout, None),
             Cancelled => unknown("cancelled", StatusCode::CONFLICT, None),
-            InDoubt(_) => unknown("in_doubt", StatusCode::BAD_GATEWAY, None),
-            Held => unknown("held", StatusCode::CONFLICT, Some(1_000)),
-            Quarantined(ms) => not_run("quarantined", busy, Some(*ms)),
-            QuarantinedInDoubt => unknown("quarantined", StatusCode::BAD_GATEWAY, None),
-            AnswerAway => unknown("answer_away", StatusCode::BAD_GATEWAY, Some(1_000)),
+            OutcomeUnknown(_) => unknown("in_doubt", StatusCode::BAD_GATEWAY, None),
+            KeyHeld => unknown("held", StatusCode::CONFLICT, Some(1_000)),
+            Quarantined(ms) => not_run("quarantined", unavailable, Some(*ms)),
+            QuarantinedUnknown => unknown("quarantined", StatusCode::BAD_GATEWAY, None),
+            AnswerUnreadable => unknown("answer_away", StatusCode::BAD_GATEWAY, Some(1_000)),
         }
     }
 
@@ -123,7 +123,7 @@
         self.kind().outcome == Outcome::NotRun
     }
 
-    /// The error as callers read it.
+    /// The error as the JSON body that callers read.
     pub(crate) fn body(&self, request_id: &str) -> ErrorBody {
         let kind = self.kind();
         ErrorBody {
@@ -131,17 +131,17 @@
                 kind: kind.name.to_string(),
                 message: self.to_string(),
                 outcome: kind.outcome,
-                retry_after_ms: kind.retry,
+                retry_after_ms: kind.retry_ms,
                 request_id: request_id.to_string(),
             },
         }
     }
 
-    /// The answer, tagged with the caller's request id.
-    pub(crate) fn answer(&self, request_id: &str) -> Response {
+    /// The HTTP response, tagged with the caller's request id.
+    pub(crate) fn response(&self, request_id: &str) -> Response {
         let kind = self.kind();
         let mut resp = (kind.code, Json(self.body(request_id))).into_response();
-        if let Some(ms) = kind.retry {
+        if let Some(ms) = kind.retry_ms {
             let secs = ms.div_ceil(1_000).to_string();
             resp.headers_mut().insert(
                 "retry-after",
--- a/crates/comfreyhall-daemon/src/http/answer.rs
+++ b/crates/comfreyhall-daemon/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in the shapes OpenAI clients read, streamed or whole.
+//! Answers in the OpenAI formats, streamed or complete.
 
 use std::convert::Infallible;
 
@@ -12,24 +12,24 @@
 
 use crate::error::RouteError;
 
-/// Which of the two APIs the caller speaks.
+/// The OpenAI API that the caller uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum ApiFormat {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-/// A finished answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub(super) struct Whole {
+pub(super) struct CompleteAnswer {
     pub(super) model: String,
     pub(super) text: String,
     pub(super) finish: String,
 }
 
-impl Whole {
+impl CompleteAnswer {
     pub(super) fn new() -> Self {
         Self {
             model: String::new(),
@@ -38,16 +38,16 @@
         }
     }
 
-    pub(super) fn push(&mut self, c: &GenerateChunk) {
-        self.text.push_str(&c.text);
-        if c.done {
-            self.model = format!("{}@{}", c.adapter, c.version);
-            self.finish.clone_from(&c.finish);
+    pub(super) fn push(&mut self, chunk: &GenerateChunk) {
+        self.text.push_str(&chunk.text);
+        if chunk.done {
+            self.model = format!("{}@{}", chunk.adapter, chunk.version);
+            self.finish.clone_from(&chunk.finish);
         }
     }
 
-    /// The answer as one last chunk, for a replayed stream.
-    pub(super) fn chunk(self, id: &str) -> GenerateChunk {
+    /// The answer as a single final chunk, for a replayed stream.
+    pub(super) fn into_chunk(self, id: &str) -> GenerateChunk {
         let (adapter, version) = self.model.split_once('@').unwrap_or((&self.model, ""));
         GenerateChunk {
             request_id: id.to_string(),
@@ -61,61 +61,61 @@
     }
 }
 
-impl Shape {
-    /// One streamed chunk.
-    fn chunk(self, id: &str, c: &GenerateChunk) -> Value {
-        let finish = c.done.then_some(&c.finish);
-        let model = format!("{}@{}", c.adapter, c.version);
+impl ApiFormat {
+    /// A streamed chunk as JSON.
+    fn chunk(self, id: &str, chunk: &GenerateChunk) -> Value {
+        let finish = chunk.done.then_some(&chunk.finish);
+        let model = format!("{}@{}", chunk.adapter, chunk.version);
         match self {
             Self::Text => json!({
                 "id": id, "object": "text_completion", "model": model,
-                "choices": [{ "index": 0, "text": c.text, "finish_reason": finish }],
+                "choices": [{ "index": 0, "text": chunk.text, "finish_reason": finish }],
             }),
             Self::Chat => json!({
                 "id": id, "object": "chat.completion.chunk", "model": model,
                 "choices": [{
                     "index": 0,
-                    "delta": { "role": "assistant", "content": c.text },
+                    "delta": { "role": "assistant", "content": chunk.text },
                     "finish_reason": finish,
                 }],
             }),
         }
     }
 
-    /// The whole answer.
-    pub(super) fn whole(self, id: &str, w: &Whole) -> Value {
+    /// A complete answer as JSON.
+    pub(super) fn complete(self, id: &str, answer: &CompleteAnswer) -> Value {
         match self {
             Self::Text => json!({
-                "id": id, "object": "text_completion", "model": w.model,
-                "choices": [{ "index": 0, "text": w.text, "finish_reason": w.finish }],
+                "id": id, "object": "text_completion", "model": answer.model,
+                "choices": [{ "index": 0, "text": answer.text, "finish_reason": answer.finish }],
             }),
             Self::Chat => json!({
-                "id": id, "object": "chat.completion", "model": w.model,
+                "id": id, "object": "chat.completion", "model": answer.model,
                 "choices": [{
                     "index": 0,
-                    "message": { "role": "assistant", "content": w.text },
-                    "finish_reason": w.finish,
+                    "message": { "role": "assistant", "content": answer.text },
+                    "finish_reason": answer.finish,
                 }],
             }),
         }
     }
 }
 
-/// Server-sent events of an answer; only a whole one ends with `[DONE]`.
+/// Server-sent events of an answer; only a complete one ends with `[DONE]`.
 ///
-/// A client that reads `[DONE]` takes the answer for complete, so a broken
-/// one must end with its error event and nothing after it.
+/// A client that reads `[DONE]` takes the answer as complete, so a broken
+/// answer must end with its error event and nothing after it.
 pub(super) fn sse(
-    shape: Shape,
+    format: ApiFormat,
     id: String,
     chunks: impl Stream<Item = Result<GenerateChunk, RouteError>> + Send + 'static,
 ) -> impl Stream<Item = Result<Event, Infallible>> + Send + 'static {
-    chunks.flat_map(move |c| {
+    chunks.flat_map(move |chunk| {
         let json = |e: Event, body: &Value| e.json_data(body).expect("JSON values serialise");
-        let events = match c {
-            Ok(c) => {
-                let event = json(Event::default(), &shape.chunk(&id, &c));
-                let done = c.done.then(|| Event::default().data("[DONE]"));
+        let events = match chunk {
+            Ok(chunk) => {
+                let event = json(Event::default(), &format.chunk(&id, &chunk));
+                let done = chunk.done.then(|| Event::default().data("[DONE]"));
                 [Some(event), done]
             }
             Err(e) => {
@@ -127,19 +127,19 @@
     })
 }
 
-/// Waits for the whole answer.
+/// Collects a complete answer into one response.
 pub(super) async fn collect(
-    shape: Shape,
+    format: ApiFormat,
     id: &str,
     chunks: impl Stream<Item = Result<GenerateChunk, RouteError>>,
 ) -> Response {
     let mut chunks = std::pin::pin!(chunks);
-    let mut whole = Whole::new();
-    while let Some(c) = chunks.next().await {
-        match c {
-            Ok(c) => whole.push(&c),
-            Err(e) => return e.answer(id),
+    let mut answer = CompleteAnswer::new();
+    while let Some(chunk) = chunks.next().await {
+        match chunk {
+            Ok(chunk) => answer.push(&chunk),
+            Err(e) => return e.response(id),
         }
     }
-    Json(shape.whole(id, &whole)).into_response()
+    Json(format.complete(id, &answer)).into_response()
 }
--- a/crates/comfreyhall-daemon/src/http/call.rs
+++ b/crates/comfreyhall-daemon/src/http/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the plain services beside the engines.
+//! Calls to the plain services that run beside the engines.
 
 use std::time::{Duration, Instant};
 
@@ -17,16 +17,16 @@
 use super::{admit, header, request_id};
 use crate::{
     app::App,
-    claims::{self, Turn},
+    claims::{self, ClaimedKey},
     error::RouteError,
     outbound::{self, Target},
-    quarantine::{self, Suspect},
+    quarantine::{self, SuspectTarget},
 };
 
-/// Targets one call is tried at.
-const TRIES: usize = 3;
+/// Targets at which one call is attempted.
+const MAX_TRIES: usize = 3;
 
-/// Longest one try may take; a service answers in tens of milliseconds.
+/// Timeout of one attempt; a service answers in tens of milliseconds.
 const TRY_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) async fn call(
@@ -36,17 +36,17 @@
     body: Bytes,
 ) -> Response {
     let id = request_id(&headers);
-    let once = headers.contains_key(NON_IDEMPOTENT_HEADER);
+    let non_idempotent = headers.contains_key(NON_IDEMPOTENT_HEADER);
     let key = header(&headers, IDEMPOTENCY_HEADER).unwrap_or(&id);
-    let key = once.then(|| format!("plain/{key}"));
-    let order = CallRequest {
+    let key = non_idempotent.then(|| format!("plain/{key}"));
+    let request = CallRequest {
         request_id: id.clone(),
         method,
         body: body.to_vec(),
     };
-    match serve(&app, order, key).await {
+    match serve(&app, request, key).await {
         Ok(body) => {
-            app.inner.metrics.request("answered");
+            app.inner.metrics.count_request("answered");
             let mut resp = body.into_response();
             if let Ok(value) = HeaderValue::from_str(&id) {
                 resp.headers_mut().insert(REQUEST_ID_HEADER, value);
@@ -57,20 +57,24 @@
     }
 }
 
-async fn serve(app: &App, order: CallRequest, key: Option<String>) -> Result<Vec<u8>, RouteError> {
-    let _tracked = app.track();
+async fn serve(
+    app: &App,
+    request: CallRequest,
+    key: Option<String>,
+) -> Result<Vec<u8>, RouteError> {
+    let _tracked = app.track_request();
     admit(app)?;
-    app.inner.counters.request();
+    app.inner.counters.count_request();
     let Some(key) = key else {
-        return send(app, &order, true).await;
+        return send(app, &request, true).await;
     };
-    let claim = match claims::claim(app, &key, &order.request_id).await? {
-        Turn::Run(claim) => claim,
-        Turn::Replay(kept) => return Ok(kept),
+    let claim = match claims::claim(app, &key, &request.request_id).await? {
+        ClaimedKey::Run(claim) => claim,
+        ClaimedKey::Replay(stored) => return Ok(stored),
     };
-    match send(app, &order, false).await {
+    match send(app, &request, false).await {
         Ok(body) => {
-            claims::keep(app, claim, &key, body.clone());
+            claims::store_answer(app, claim, &key, body.clone());
             Ok(body)
         }
         Err(e) => {
@@ -82,59 +86,67 @@
     }
 }
 
-/// Sends the call to services in turn, those in our failure domain first.
+/// Sends the call to services in turn, those in this failure domain first.
 ///
-/// A try that is not proved "not run" ends a call that may not be repeated,
-/// and leaves the outcome of any other unknown unless a later try succeeds.
-async fn send(app: &App, order: &CallRequest, repeatable: bool) -> Result<Vec<u8>, RouteError> {
+/// An attempt that is not proved "not run" ends a call that may not be
+/// repeated; for any other call it leaves the outcome unknown unless a later
+/// attempt succeeds.
+async fn send(app: &App, request: &CallRequest, repeatable: bool) -> Result<Vec<u8>, RouteError> {
     let services = &app.inner.settings.services;
-    let mut turn: Vec<usize> = (0..services.len()).collect();
-    turn.shuffle(&mut rand::rng());
-    turn.sort_by_key(|i| services[*i].domain != app.instance.domain);
-    let default = Duration::from_millis(app.inner.settings.tuning.deadline_ms);
-    let until = Instant::now() + default;
-    let fingerprint = Fingerprint::of([order.method.as_bytes(), &order.body]);
-    let mut doubt = None;
-    let mut shut = Vec::new();
+    let mut candidates: Vec<usize> = (0..services.len()).collect();
+    candidates.shuffle(&mut rand::rng());
+    candidates.sort_by_key(|i| services[*i].domain != app.instance.domain);
+    let default_deadline = Duration::from_millis(app.inner.settings.tuning.deadline_ms);
+    let deadline = Instant::now() + default_deadline;
+    let fingerprint = Fingerprint::of([request.method.as_bytes(), &request.body]);
+    let mut may_have_run = None;
+    let mut rejections = Vec::new();
     let mut tries = 0;
-    for index in turn {
-        if tries == TRIES {
+    for index in candidates {
+        if tries == MAX_TRIES {
             break;
         }
-        if let Err(why) = outbound::admit(app, Target::Service(index)) {
-            shut.push(why);
+        if let Err(reason) = outbound::admit(app, Target::Service(index)) {
+            rejections.push(reason);
             continue;
         }
         tries += 1;
-        let left = until.saturating_duration_since(Instant::now());
-        quarantine::admit(app, &fingerprint, doubt.is_some())?;
-        let mut client = app.inner.plain[index].clone();
-        let sent = app.now_ms();
-        let call = client.call(order.clone());
-        let answer = tokio::time::timeout(left.min(TRY_TIMEOUT), call).await;
-        let why = match answer.map(|a| outbound::hear(app, Target::Service(index), Some(sent), a)) {
-            Ok(Ok(reply)) if reply.get_ref().request_id == order.request_id => {
-                quarantine::ran_whole(app, fingerprint);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        quarantine::admit(app, &fingerprint, may_have_run.is_some())?;
+        let mut client = app.inner.service_clients[index].clone();
+        let sent_at_ms = app.now_ms();
+        let call = client.call(request.clone());
+        let answer = tokio::time::timeout(remaining.min(TRY_TIMEOUT), call).await;
+        let reason = match answer
+            .map(|a| outbound::record_answer(app, Target::Service(index), Some(sent_at_ms), a))
+        {
+            Ok(Ok(reply)) if reply.get_ref().request_id == request.request_id => {
+                quarantine::record_completed(app, fingerprint);
                 return Ok(reply.into_inner().body);
             }
             Ok(Ok(_)) => "the answer is another request's".to_string(),
             Ok(Err(s)) if proves_not_run(&s) => continue,
             Ok(Err(s)) => {
-                quarantine::broke(app, Suspect::Service(index), fingerprint, true);
+                quarantine::record_broken_run(
+                    app,
+                    SuspectTarget::Service(index),
+                    fingerprint,
+                    true,
+                );
                 s.message().to_string()
             }
             Err(_) => "no answer in time".to_string(),
         };
-        log::warn!(target: "call", "{} at {}: {why}", order.request_id, services[index].id);
+        log::warn!(target: "call", "{} at {}: {reason}", request.request_id, services[index].id);
         if !repeatable {
-            return Err(RouteError::InDoubt(why));
+            return Err(RouteError::OutcomeUnknown(reason));
         }
-        doubt = Some(why);
+        may_have_run = Some(reason);
     }
     let all = (0..services.len()).map(Target::Service);
-    match (doubt, outbound::all_ms(app, all)) {
-        (Some(why), _) => Err(RouteError::InDoubt(why)),
-        (None, Some(ms)) if !shut.is_empty() => Err(RouteError::Shut(ms)),
-        (None, _) => Err(RouteError::Exhausted(TRIES as u32)),
+    match (may_have_run, outbound::all_unavailable_ms(app, all)) {
+        (Some(reason), _) => Err(RouteError::OutcomeUnknown(reason)),
+        (None, Some(ms)) if !rejections.is_empty() => Err(RouteError::Unavailable(ms)),
+        (None, _) => Err(RouteError::Exhausted(MAX_TRIES as u32)),
     }
 }
--- a/crates/comfreyhall-daemon/src/http/complete.rs
+++ b/crates/comfreyhall-daemon/src/http/complete.rs
@@ -1,4 +1,4 @@
-//! Completion requests, in both OpenAI shapes.
+//! Completion requests, in both OpenAI formats.
 
 use std::{
     pin::Pin,
@@ -24,36 +24,36 @@
 
 use super::{
     admit,
-    answer::{self, Shape, Whole},
+    answer::{self, ApiFormat, CompleteAnswer},
     header, request_id,
 };
 use crate::{
     app::App,
-    claims::{self, Turn},
+    claims::{self, ClaimedKey},
     error::RouteError,
     relay::Relay,
     resolve::{Resolved, resolve},
-    route::{self, Job, Started},
+    route::{self, RoutedRequest, StartedRun},
 };
 
-/// Most tokens one request may ask for.
+/// Maximum tokens one request may ask for.
 const MAX_TOKENS: u32 = 4_096;
 
-/// Longest deadline a request may name, in ms.
+/// Longest deadline a request may set, in ms.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Chunks a claimed run may be ahead of its caller.
+/// Chunks that a claimed run may be ahead of its caller.
 const CLAIMED_BUFFER: usize = 64;
 
-/// An answer's chunks, however they come about.
+/// An answer's chunks, from a relay or from a claimed run's channel.
 type Chunks = Pin<Box<dyn Stream<Item = Result<GenerateChunk, RouteError>> + Send>>;
 
-/// One request, whichever API it came by.
-struct Ask {
+/// A completion request of either API.
+struct IncomingRequest {
     id: String,
     /// The caller's idempotency key.
     key: Option<String>,
-    shape: Shape,
+    format: ApiFormat,
     body: CompletionRequest,
 }
 
@@ -62,7 +62,7 @@
     headers: HeaderMap,
     body: Result<Json<CompletionRequest>, JsonRejection>,
 ) -> Response {
-    answer(app, &headers, Shape::Text, body.map(|Json(b)| b)).await
+    answer(app, &headers, ApiFormat::Text, body.map(|Json(b)| b)).await
 }
 
 pub(super) async fn chat(
@@ -71,52 +71,52 @@
     body: Result<Json<ChatRequest>, JsonRejection>,
 ) -> Response {
     let body = body.map(|Json(b)| CompletionRequest::from(b));
-    answer(app, &headers, Shape::Chat, body).await
+    answer(app, &headers, ApiFormat::Chat, body).await
 }
 
 async fn answer(
     app: App,
     headers: &HeaderMap,
-    shape: Shape,
+    format: ApiFormat,
     body: Result<CompletionRequest, JsonRejection>,
 ) -> Response {
     let id = request_id(headers);
     let body = match body {
         Ok(body) => body,
-        Err(e) => return RouteError::BadRequest(e.body_text()).answer(&id),
+        Err(e) => return RouteError::BadRequest(e.body_text()).response(&id),
     };
-    let ask = Ask {
+    let request = IncomingRequest {
         key: header(headers, IDEMPOTENCY_HEADER).map(str::to_string),
         id,
-        shape,
+        format,
         body,
     };
-    match serve(&app, &ask).await {
+    match serve(&app, &request).await {
         Ok(resp) => resp,
-        Err(e) => super::refuse(&app, &ask.id, &e),
+        Err(e) => super::refuse(&app, &request.id, &e),
     }
 }
 
-async fn serve(app: &App, ask: &Ask) -> Result<Response, RouteError> {
-    let tracked = app.track();
+async fn serve(app: &App, request: &IncomingRequest) -> Result<Response, RouteError> {
+    let tracked = app.track_request();
     admit(app)?;
-    app.inner.counters.request();
-    let (adapter, version) = split_model(&ask.body.model)?;
-    check(&ask.body)?;
+    app.inner.counters.count_request();
+    let (adapter, version) = split_model(&request.body.model)?;
+    validate(&request.body)?;
     let resolved = resolve(app, adapter, version).await?;
-    limit(&ask.body, &resolved)?;
-    let job = job(app, ask, adapter, version, &resolved);
-    let key = claim_key(ask, &resolved);
+    check_token_limit(&request.body, &resolved)?;
+    let routed = build_routed_request(app, request, adapter, version, &resolved);
+    let key = claim_key(request, &resolved);
     let claim = match &key {
         None => None,
-        Some(key) => match claims::claim(app, key, &ask.id).await? {
-            Turn::Run(claim) => Some(claim),
-            Turn::Replay(kept) => return replay(ask, &kept),
+        Some(key) => match claims::claim(app, key, &request.id).await? {
+            ClaimedKey::Run(claim) => Some(claim),
+            ClaimedKey::Replay(stored) => return replay(request, &stored),
         },
     };
-    let (guard, cancelled) = app.cancellable(&ask.id);
+    let (guard, cancelled) = app.register_cancel(&request.id);
     let started = tokio::select! {
-        started = route::start(app, &job) => started,
+        started = route::start(app, &routed) => started,
         () = cancelled.cancelled() => Err(RouteError::Cancelled),
     };
     let started = match started {
@@ -128,28 +128,30 @@
             return Err(e);
         }
     };
-    app.inner.metrics.stall(started.stall, resolved.stall_ms);
-    let headers = headers(app, &ask.id, &started);
-    let relay = Relay::new(app, job, started, cancelled, (tracked, guard));
+    app.inner
+        .metrics
+        .record_stall(started.load_wait, resolved.stall_ms);
+    let headers = answer_headers(app, &request.id, &started);
+    let relay = Relay::new(app, routed, started, cancelled, (tracked, guard));
     let chunks: Chunks = match (claim, key) {
-        (Some(claim), Some(key)) => claimed(app, relay, claim, key),
+        (Some(claim), Some(key)) => run_claimed(app, relay, claim, key),
         _ => Box::pin(relay.chunks()),
     };
-    Ok((headers, respond(app, ask, chunks).await).into_response())
+    Ok((headers, respond(app, request, chunks).await).into_response())
 }
 
-async fn respond(app: &App, ask: &Ask, chunks: Chunks) -> Response {
+async fn respond(app: &App, request: &IncomingRequest, chunks: Chunks) -> Response {
     let app = app.clone();
-    let counted = chunks.inspect(move |c| match c {
-        Ok(c) if c.done => app.inner.metrics.request("answered"),
+    let counted = chunks.inspect(move |chunk| match chunk {
+        Ok(chunk) if chunk.done => app.inner.metrics.count_request("answered"),
         Ok(_) => {}
-        Err(_) => app.inner.metrics.request("unknown"),
+        Err(_) => app.inner.metrics.count_request("unknown"),
     });
-    if ask.body.stream {
-        let events = answer::sse(ask.shape, ask.id.clone(), counted);
+    if request.body.stream {
+        let events = answer::sse(request.format, request.id.clone(), counted);
         return Sse::new(events).into_response();
     }
-    answer::collect(ask.shape, &ask.id, counted).await
+    answer::collect(request.format, &request.id, counted).await
 }
 
 fn split_model(model: &str) -> Result<(&str, &str), RouteError> {
@@ -159,7 +161,7 @@
         .ok_or_else(|| RouteError::BadModel(model.to_string()))
 }
 
-fn check(body: &CompletionRequest) -> Result<(), RouteError> {
+fn validate(body: &CompletionRequest) -> Result<(), RouteError> {
     let bad = |what: String| Err(RouteError::BadRequest(what));
     if body.max_tokens == 0 || body.max_tokens > MAX_TOKENS {
         return bad(format!(
@@ -175,53 +177,59 @@
     }
 }
 
-fn limit(body: &CompletionRequest, resolved: &Resolved) -> Result<(), RouteError> {
+fn check_token_limit(body: &CompletionRequest, resolved: &Resolved) -> Result<(), RouteError> {
     match resolved.effects.max_tokens {
-        Some(most) if body.max_tokens > most => Err(RouteError::BadRequest(format!(
-            "max_tokens {} is over the {most} that the operators' rules allow",
+        Some(limit) if body.max_tokens > limit => Err(RouteError::BadRequest(format!(
+            "max_tokens {} is over the {limit} that the operators' rules allow",
             body.max_tokens
         ))),
         _ => Ok(()),
     }
 }
 
-fn job(app: &App, ask: &Ask, adapter: &str, version: &str, resolved: &Resolved) -> Job {
+fn build_routed_request(
+    app: &App,
+    request: &IncomingRequest,
+    adapter: &str,
+    version: &str,
+    resolved: &Resolved,
+) -> RoutedRequest {
     let default = app.inner.settings.tuning.deadline_ms;
-    let deadline = Duration::from_millis(ask.body.deadline_ms.unwrap_or(default));
-    Job {
-        order: GenerateRequest {
-            request_id: ask.id.clone(),
+    let deadline = Duration::from_millis(request.body.deadline_ms.unwrap_or(default));
+    RoutedRequest {
+        command: GenerateRequest {
+            request_id: request.id.clone(),
             adapter: adapter.to_string(),
             version: version.to_string(),
-            prompt: ask.body.prompt.clone(),
-            max_tokens: ask.body.max_tokens,
-            priority: resolved.priority + ask.body.priority.clamp(-9, 9),
+            prompt: request.body.prompt.clone(),
+            max_tokens: request.body.max_tokens,
+            priority: resolved.priority + request.body.priority.clamp(-9, 9),
             ..GenerateRequest::default()
         },
-        until: Instant::now() + deadline,
-        repeatable: !ask.body.non_idempotent,
+        deadline: Instant::now() + deadline,
+        repeatable: !request.body.non_idempotent,
         fingerprint: Fingerprint::of([
             resolved.customer.as_bytes(),
             adapter.as_bytes(),
             version.as_bytes(),
-            ask.body.prompt.as_bytes(),
-            &ask.body.max_tokens.to_le_bytes(),
+            request.body.prompt.as_bytes(),
+            &request.body.max_tokens.to_le_bytes(),
         ]),
     }
 }
 
-/// The key a non-idempotent request is claimed under: the caller's, or the
-/// request id when it gave none, within its customer.
-fn claim_key(ask: &Ask, resolved: &Resolved) -> Option<String> {
-    ask.body.non_idempotent.then(|| {
-        let key = ask.key.as_ref().unwrap_or(&ask.id);
+/// The key under which a non-idempotent request is claimed: the caller's key,
+/// or the request id if it gave none, scoped to its customer.
+fn claim_key(request: &IncomingRequest, resolved: &Resolved) -> Option<String> {
+    request.body.non_idempotent.then(|| {
+        let key = request.key.as_ref().unwrap_or(&request.id);
         format!("{}/{key}", resolved.customer)
     })
 }
 
-fn headers(app: &App, id: &str, started: &Started) -> HeaderMap {
+fn answer_headers(app: &App, id: &str, started: &StartedRun) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    let stall = started.stall.as_millis().to_string();
+    let stall = started.load_wait.as_millis().to_string();
     let engine = &app.inner.settings.engines[started.engine].id;
     let all = [
         (STALL_HEADER, stall.as_str()),
@@ -236,43 +244,45 @@
     headers
 }
 
-/// The kept answer of a request that ran before.
-fn replay(ask: &Ask, kept: &[u8]) -> Result<Response, RouteError> {
-    let whole: Whole = serde_json::from_slice(kept).map_err(|_| RouteError::AnswerAway)?;
-    if !ask.body.stream {
-        return Ok(Json(ask.shape.whole(&ask.id, &whole)).into_response());
+/// Replays the stored answer of a request that already ran.
+fn replay(request: &IncomingRequest, stored: &[u8]) -> Result<Response, RouteError> {
+    let stored_answer: CompleteAnswer =
+        serde_json::from_slice(stored).map_err(|_| RouteError::AnswerUnreadable)?;
+    if !request.body.stream {
+        return Ok(Json(request.format.complete(&request.id, &stored_answer)).into_response());
     }
-    let chunk = whole.chunk(&ask.id);
+    let chunk = stored_answer.into_chunk(&request.id);
     let once = futures::stream::once(async { Ok(chunk) });
-    Ok(Sse::new(answer::sse(ask.shape, ask.id.clone(), once)).into_response())
+    Ok(Sse::new(answer::sse(request.format, request.id.clone(), once)).into_response())
 }
 
-/// Runs a claimed request to its end, whether or not its caller stays.
+/// Runs a claimed request to completion, whether or not its caller stays.
 ///
-/// A caller that lost its connection asks again with the same key; if the
-/// run had ended with the connection, its outcome would stay unknown.
-fn claimed(app: &App, relay: Relay, claim: Claim, key: String) -> Chunks {
+/// A caller that lost its connection repeats the request with the same key; if
+/// the run ended with the connection, its outcome would remain unknown.
+fn run_claimed(app: &App, relay: Relay, claim: Claim, key: String) -> Chunks {
     let (tx, rx) = mpsc::channel(CLAIMED_BUFFER);
     let app = app.clone();
     tokio::spawn(async move {
         let mut chunks = std::pin::pin!(relay.chunks());
-        let mut whole = Whole::new();
-        while let Some(c) = chunks.next().await {
-            let done = match &c {
-                Ok(c) => {
-                    whole.push(c);
-                    c.done
+        let mut answer_so_far = CompleteAnswer::new();
+        while let Some(chunk) = chunks.next().await {
+            let done = match &chunk {
+                Ok(chunk) => {
+                    answer_so_far.push(chunk);
+                    chunk.done
                 }
                 Err(_) => false,
             };
             if done {
-                let kept = serde_json::to_vec(&whole).expect("answers serialise");
-                claims::keep(&app, claim, &key, kept);
-                let _ = tx.send(c).await;
+                let stored = serde_json::to_vec(&answer_so_far).expect("answers serialise");
+                claims::store_answer(&app, claim, &key, stored);
+                let _ = tx.send(chunk).await;
                 return;
             }
-            // Nobody reads any more: the run still goes on to its end.
-            let _ = tx.send(c).await;
+            // A failed send means that the caller left; the run still continues
+            // to its end.
+            let _ = tx.send(chunk).await;
         }
     });
     Box::pin(ReceiverStream::new(rx))
--- a/crates/comfreyhall-daemon/src/http/mod.rs
+++ b/crates/comfreyhall-daemon/src/http/mod.rs
@@ -1,5 +1,4 @@
-//! The caller-facing HTTP server; peers reach their gRPC service on the
-//! same port.
+//! The HTTP server for callers; the gRPC service for peers shares its port.
 
 mod answer;
 mod call;
@@ -19,14 +18,14 @@
 use serde::Deserialize;
 use tokio::net::TcpListener;
 
-use crate::{app::App, error::RouteError, member, peer::Answers};
+use crate::{app::App, error::RouteError, member, peer::PeerService};
 
-/// Longest the server may take to close its connections once drained.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time the server may take to close its connections once drained.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves callers until a planned stop has drained every request.
+/// Serves callers until a planned stop has drained all requests.
 pub(crate) async fn serve(app: App, listener: TcpListener) -> eyre::Result<()> {
-    let peers = PeerServer::new(Answers { app: app.clone() });
+    let peers = PeerServer::new(PeerService { app: app.clone() });
     let router = Router::new()
         .route("/v1/completions", post(complete::text))
         .route("/v1/chat/completions", post(complete::chat))
@@ -42,51 +41,54 @@
         .merge(tonic::service::Routes::new(peers).into_axum_router());
     let stopped = {
         let app = app.clone();
-        async move { app.inner.life.wait_for_stage(Stage::Stopped).await }
+        async move { app.inner.lifecycle.wait_for_stage(Stage::Stopped).await }
     };
     let server = axum::serve(listener, router).with_graceful_shutdown(stopped);
-    let closed = async {
-        app.inner.life.wait_for_stage(Stage::Stopped).await;
-        tokio::time::sleep(CLOSE_LIMIT).await;
+    let close_timeout = async {
+        app.inner.lifecycle.wait_for_stage(Stage::Stopped).await;
+        tokio::time::sleep(CLOSE_TIMEOUT).await;
     };
-    // Every answer is written by now; an idle connection that a caller keeps
+    // All answers are written by now; an idle connection that a caller keeps
     // open must not keep the process alive.
     tokio::select! {
         served = server.into_future() => served?,
-        () = closed => {}
+        () = close_timeout => {}
     }
     log::info!(target: "daemon", "stopped");
     Ok(())
 }
 
-/// Watches for a planned stop and drains the requests in progress.
+/// Waits for a planned stop and drains the requests in progress.
 ///
-/// The daemon stays up for the time callers may keep an address answer,
-/// even when idle, so that a caller with an old answer is told where to go
-/// instead of finding nobody there.
+/// Even when idle, the daemon keeps running for as long as callers may cache an
+/// address answer, so that a caller with an old answer is told where to go
+/// instead of finding nothing there.
 pub(crate) async fn stop_task(app: App) {
     tokio::spawn({
         let app = app.clone();
         async move {
             comfreyhall_telemetry::stop_signal().await;
-            app.inner.life.handle(Event::Stop);
+            app.inner.lifecycle.handle(Event::Stop);
         }
     });
-    app.inner.life.wait_for_stage(Stage::Leaving).await;
+    app.inner.lifecycle.wait_for_stage(Stage::Leaving).await;
     let tuning = &app.inner.settings.tuning;
-    if let Err(e) = member::beat(&app).await {
-        log::warn!(target: "member", "leaving not written: {e}");
+    if let Err(e) = member::write_heartbeat(&app).await {
+        log::warn!(target: "member", "draining state not written: {e}");
     }
     tokio::time::sleep(Duration::from_millis(tuning.address_ttl_ms)).await;
-    let limit = Duration::from_millis(tuning.drain_ms);
-    if tokio::time::timeout(limit, drained(&app)).await.is_err() {
-        let left = app.in_flight();
-        log::warn!(target: "daemon", "drain limit passed with {left} requests still running");
+    let timeout = Duration::from_millis(tuning.drain_ms);
+    if tokio::time::timeout(timeout, wait_until_idle(&app))
+        .await
+        .is_err()
+    {
+        let remaining = app.in_flight();
+        log::warn!(target: "daemon", "drain limit passed with {remaining} requests still running");
     }
-    app.inner.life.handle(Event::Drained);
+    app.inner.lifecycle.handle(Event::Drained);
 }
 
-async fn drained(app: &App) {
+async fn wait_until_idle(app: &App) {
     loop {
         let idle = app.inner.idle.notified();
         if app.in_flight() == 0 {
@@ -97,7 +99,7 @@
 }
 
 async fn drain(State(app): State<App>) -> impl IntoResponse {
-    app.inner.life.handle(Event::Stop);
+    app.inner.lifecycle.handle(Event::Stop);
     Json(serde_json::json!({ "draining": true }))
 }
 
@@ -120,14 +122,14 @@
 async fn health(State(app): State<App>) -> impl IntoResponse {
     Json(serde_json::json!({
         "instance": &*app.instance.id,
-        "stage": app.inner.life.stage(),
+        "stage": app.inner.lifecycle.stage(),
         "in_flight": app.in_flight(),
         "orders_token": app.inner.lease.token(Instant::now()),
     }))
 }
 
 async fn metrics(State(app): State<App>) -> impl IntoResponse {
-    app.inner.metrics.text()
+    app.inner.metrics.render()
 }
 
 async fn stats(State(app): State<App>) -> impl IntoResponse {
@@ -152,25 +154,29 @@
         .unwrap_or_else(|| format!("req-{:016x}", rand::random::<u64>()))
 }
 
-/// A header's text, if it is present and of a sane length.
+/// A header's text, if it is present, not empty and at most 128 bytes long.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let text = headers.get(name)?.to_str().ok()?;
     (!text.is_empty() && text.len() <= 128).then_some(text)
 }
 
-/// Answers a request with an error, counted and logged.
-fn refuse(app: &App, id: &str, why: &RouteError) -> Response {
-    let how = if why.not_run() { "not_run" } else { "unknown" };
-    log::debug!(target: "route", "{id} ends {how}: {why}");
-    app.inner.metrics.request(how);
-    why.answer(id)
+/// Answers a request with an error, and counts and logs it.
+fn refuse(app: &App, id: &str, error: &RouteError) -> Response {
+    let how = if error.not_run() {
+        "not_run"
+    } else {
+        "unknown"
+    };
+    log::debug!(target: "route", "{id} ends {how}: {error}");
+    app.inner.metrics.count_request(how);
+    error.response(id)
 }
 
-/// Whether this instance takes new requests now.
+/// Checks that this instance accepts new requests now.
 fn admit(app: &App) -> Result<(), RouteError> {
-    match app.inner.life.stage() {
+    match app.inner.lifecycle.stage() {
         Stage::Starting => Err(RouteError::Starting),
         Stage::Serving => Ok(()),
-        Stage::Leaving | Stage::Stopped => Err(RouteError::Leaving),
+        Stage::Leaving | Stage::Stopped => Err(RouteError::Draining),
     }
 }
--- a/crates/comfreyhall-daemon/src/lib.rs
+++ b/crates/comfreyhall-daemon/src/lib.rs
@@ -1,13 +1,13 @@
 //! The comfreyhall daemon, one per entry instance.
 //!
-//! It answers callers over HTTP (which addresses to use, and their completion
-//! requests), routes each request to an engine that holds or will load the
-//! requested adapter version, and runs the control duties: membership
-//! heartbeats in the table service and the engine status polls that feed
-//! placement. Each duty is its own task; they share the [`app::App`] state.
+//! It serves callers over HTTP (addresses to use, and completion requests),
+//! routes each request to an engine that has loaded or will load the requested
+//! adapter version, and runs the control tasks, among them membership
+//! heartbeats in the table service and the engine status polls that placement
+//! is based on. Each is its own task; they share the [`app::App`] state.
 //!
-//! The daemon keeps nothing on disk. What must last (catalog, membership)
-//! lives in the platform's table service.
+//! The daemon stores nothing on disk. Durable state (catalog, membership) is
+//! kept in the platform's table service.
 
 mod app;
 mod claims;
--- a/crates/comfreyhall-daemon/src/member.rs
+++ b/crates/comfreyhall-daemon/src/member.rs
@@ -1,21 +1,22 @@
-//! Membership: heartbeats in the table service and the address answer.
+//! Membership: heartbeats in the table service, and the addresses given to
+//! callers.
 //!
-//! Each daemon writes its own row `member/<id>` every heartbeat period with
-//! its address, domain, whether it is leaving, and a count of its beats.
-//! Every daemon reads all rows once per period and answers callers from
-//! that copy, so the table's load does not grow with the callers.
+//! Each daemon writes its own row `member/<id>` once per heartbeat period, with
+//! its address, its failure domain, whether it is draining, and a heartbeat
+//! count. Every daemon reads all rows once per period and answers callers from
+//! that copy, so the table's load does not grow with the number of callers.
 //!
-//! What can go wrong, and what prevents it:
+//! Failure cases and what prevents them:
 //!
-//! - Clocks differ between machines, so a beat time written by one machine
-//!   says little to another. A member is live while its count moved within
-//!   the lease by the reader's own steady clock.
-//! - The table is down: nobody's count moves, and everyone would look dead.
-//!   Counts are only judged by scans that succeeded; between them the last
-//!   answer stands, and the first scan after a gap starts every lease anew.
-//! - An instance leaves: its own row says so at once, and the platform's
-//!   list says so some time later, even if it could not write its row.
-//!   Either is enough to hand it out no more.
+//! - Clocks differ between machines, so a timestamp written by one machine is
+//!   of little use to another. A member is live while its count changed within
+//!   the lease by the reader's own monotonic clock.
+//! - While the table is down no count changes, and every member would look
+//!   dead. Members are judged only by scans that succeeded. Between scans the
+//!   last answer stands, and the first scan after a gap restarts every lease.
+//! - An instance is draining: its own row says so at once, and the platform's
+//!   instance list says so some time later, even if the instance could not
+//!   write its row. Either is enough to stop giving out its address.
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -30,30 +31,30 @@
 
 use crate::app::App;
 
-/// Longest a read of the platform's instance list may take.
+/// Timeout of a read of the platform's instance list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a member row holds.
+/// A member row.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Member {
     pub(crate) id: String,
     pub(crate) domain: String,
     pub(crate) address: String,
     pub(crate) leaving: bool,
-    /// Random id of the process, so a restart shows as a change.
+    /// Random id of the process, so that a restart shows as a change.
     pub(crate) boot: u64,
-    /// Beats this process has written.
+    /// Heartbeats that this process has written.
     pub(crate) beat: u64,
 }
 
-/// A member as this daemon last saw it.
-struct Seen {
+/// A member as this daemon last read it.
+struct ObservedMember {
     member: Member,
-    /// When the row last changed, by our steady clock.
-    moved: Instant,
+    /// When the row last changed, by this daemon's monotonic clock.
+    changed_at: Instant,
 }
 
-/// Everyone this daemon has seen.
+/// All members that this daemon has read.
 #[derive(Default)]
 pub(crate) struct Members {
     state: Mutex<State>,
@@ -63,11 +64,11 @@
 struct State {
     boot: u64,
     beat: u64,
-    seen: Map<String, Seen>,
-    /// Ids the platform lists as leaving.
+    observed: Map<String, ObservedMember>,
+    /// Ids that the platform lists as draining.
     leaving: Vec<String>,
-    /// Time of the last scan that succeeded.
-    scanned: Option<Instant>,
+    /// Time of the last successful scan.
+    last_scan: Option<Instant>,
 }
 
 impl Members {
@@ -75,36 +76,49 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Takes over the rows of a scan made at `now`.
-    fn observe(&self, rows: Vec<Member>, now: Instant, lease: Duration) {
+    /// Records the rows of a scan made at `now`.
+    fn record_scan(&self, rows: Vec<Member>, now: Instant, lease: Duration) {
         let mut state = self.state();
-        let last = state.scanned.replace(now);
-        let gap = last.is_some_and(|t| now.saturating_duration_since(t) >= lease);
-        state.seen.retain(|id, _| rows.iter().any(|m| m.id == *id));
+        let last = state.last_scan.replace(now);
+        let after_gap =
+            last.is_some_and(|previous| now.saturating_duration_since(previous) >= lease);
+        state
+            .observed
+            .retain(|id, _| rows.iter().any(|member| member.id == *id));
         for member in rows {
-            let moved = match state.seen.get(&member.id) {
-                Some(old) if old.member == member && !gap => old.moved,
+            let changed_at = match state.observed.get(&member.id) {
+                Some(old) if old.member == member && !after_gap => old.changed_at,
                 _ => now,
             };
-            state.seen.insert(member.id.clone(), Seen { member, moved });
+            state
+                .observed
+                .insert(member.id.clone(), ObservedMember { member, changed_at });
         }
     }
 
-    /// Live members that are not leaving, as of the last scan.
+    /// Live members that are not draining, as of the last scan.
     fn live(&self, lease: Duration) -> Vec<Member> {
         let state = self.state();
-        let Some(scanned) = state.scanned else {
+        let Some(last_scan) = state.last_scan else {
             return Vec::new();
         };
-        let fresh = |s: &&Seen| scanned.saturating_duration_since(s.moved) < lease;
-        let staying = |m: &Member| !m.leaving && !state.leaving.contains(&m.id);
-        let live = state.seen.values().filter(fresh).map(|s| &s.member);
-        live.filter(|m| staying(m)).cloned().collect()
+        let is_live =
+            |entry: &&ObservedMember| last_scan.saturating_duration_since(entry.changed_at) < lease;
+        let accepts_requests =
+            |member: &Member| !member.leaving && !state.leaving.contains(&member.id);
+        let live = state
+            .observed
+            .values()
+            .filter(is_live)
+            .map(|entry| &entry.member);
+        live.filter(|member| accepts_requests(member))
+            .cloned()
+            .collect()
     }
 }
 
 /// Writes this instance's member row once.
-pub(crate) async fn beat(app: &App) -> Result<(), CatalogError> {
+pub(crate) async fn write_heartbeat(app: &App) -> Result<(), CatalogError> {
     let row = {
         let mut state = app.inner.members.state();
         if state.boot == 0 {
@@ -115,7 +129,7 @@
             id: app.instance.id.to_string(),
             domain: app.instance.domain.to_string(),
             address: app.instance.listen.clone(),
-            leaving: app.leaving(),
+            leaving: app.is_draining(),
             boot: state.boot,
             beat: state.beat,
         }
@@ -131,51 +145,53 @@
     let rows = app.inner.table.scan("member/", "", 0).await?;
     let members = rows
         .iter()
-        .filter_map(|r| serde_json::from_slice(&r.value).ok())
+        .filter_map(|row| serde_json::from_slice(&row.value).ok())
         .collect();
     let lease = Duration::from_millis(app.inner.settings.tuning.lease_ms);
-    app.inner.members.observe(members, Instant::now(), lease);
+    app.inner
+        .members
+        .record_scan(members, Instant::now(), lease);
     Ok(())
 }
 
-/// Reads the platform's list; an instance that finds itself there as
-/// leaving starts its planned stop.
-async fn list(app: &App) {
-    let mut client = app.inner.listing.clone();
+/// Reads the platform's instance list. An instance that is listed there as
+/// draining starts its planned stop.
+async fn poll_instance_list(app: &App) {
+    let mut client = app.inner.instance_list.clone();
     let answer = tokio::time::timeout(LIST_TIMEOUT, client.list(ListQuery {})).await;
     let Ok(Ok(reply)) = answer else { return };
     let reply = reply.into_inner();
-    app.inner.counters.control(0, reply.encoded_len());
+    app.inner.counters.count_control(0, reply.encoded_len());
     let leaving: Vec<String> = reply
         .instances
         .into_iter()
-        .filter(|i| i.leaving)
-        .map(|i| i.id)
+        .filter(|instance| instance.leaving)
+        .map(|instance| instance.id)
         .collect();
-    let ours = leaving.iter().any(|id| **id == *app.instance.id);
+    let includes_us = leaving.iter().any(|id| **id == *app.instance.id);
     app.inner.members.state().leaving = leaving;
-    if ours && !app.leaving() {
+    if includes_us && !app.is_draining() {
         log::info!(target: "member", "the platform lists this instance as leaving");
-        app.inner.life.handle(Event::Stop);
+        app.inner.lifecycle.handle(Event::Stop);
     }
 }
 
 /// Starts the heartbeat and scan tasks.
 ///
-/// They are apart because a write that hangs must not keep this daemon from
-/// seeing who else left.
+/// They are separate because a write that hangs must not keep this daemon from
+/// reading which members are draining.
 pub(crate) fn spawn(app: &App) {
     let period = Duration::from_millis(app.inner.settings.tuning.heartbeat_ms);
-    let beats = app.clone();
+    let heartbeats = app.clone();
     tokio::spawn(async move {
         let mut tick = tokio::time::interval(period);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
-            if beats.inner.life.stage() == Stage::Starting {
+            if heartbeats.inner.lifecycle.stage() == Stage::Starting {
                 continue;
             }
-            if let Err(e) = beat(&beats).await {
+            if let Err(e) = write_heartbeat(&heartbeats).await {
                 log::warn!(target: "member", "heartbeat not written: {e}");
             }
         }
@@ -186,7 +202,7 @@
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
-            list(&scans).await;
+            poll_instance_list(&scans).await;
             if let Err(e) = scan(&scans).await {
                 log::warn!(target: "member", "member list not read: {e}");
             }
@@ -194,24 +210,25 @@
     });
 }
 
-/// The live, not leaving members, those in `domain` first.
+/// Addresses of the live members that are not draining, those in `domain`
+/// first.
 pub(crate) fn addresses(app: &App, domain: Option<&str>) -> Addresses {
     let tuning = &app.inner.settings.tuning;
     let mut live = app
         .inner
         .members
         .live(Duration::from_millis(tuning.lease_ms));
-    // Before the first scan, hand out at least this instance if it serves.
-    if live.is_empty() && app.inner.life.stage() == Stage::Serving {
+    // Before the first scan, give out at least this instance if it serves.
+    if live.is_empty() && app.inner.lifecycle.stage() == Stage::Serving {
         return Addresses {
             addresses: vec![app.instance.listen.clone()],
             ttl_ms: tuning.address_ttl_ms,
         };
     }
-    live.retain(|m| *m.id != *app.instance.id || !app.leaving());
-    live.sort_by_key(|m| (Some(m.domain.as_str()) != domain, m.id.clone()));
+    live.retain(|member| *member.id != *app.instance.id || !app.is_draining());
+    live.sort_by_key(|member| (Some(member.domain.as_str()) != domain, member.id.clone()));
     Addresses {
-        addresses: live.into_iter().map(|m| m.address).collect(),
+        addresses: live.into_iter().map(|member| member.address).collect(),
         ttl_ms: tuning.address_ttl_ms,
     }
 }
--- a/crates/comfreyhall-daemon/src/member_tests.rs
+++ b/crates/comfreyhall-daemon/src/member_tests.rs
@@ -26,32 +26,32 @@
     let half = LEASE / 2;
     for k in 0..3 {
         let rows = vec![member("a", u64::from(k), false), member("b", 1, false)];
-        members.observe(rows, t + half * k, LEASE);
+        members.record_scan(rows, t + half * k, LEASE);
     }
     assert_eq!(ids(&members), ["a"]);
 }
 
 #[test]
 fn live_survives_outage() {
-    // Symptom: after a long table outage every address answer was empty.
-    // Sequence: no beat can be written while the table is down, so by the
-    // wall-clock time in the rows everyone's lease had lapsed. Cause: rows
-    // were judged between scans. They are now judged only by scans that
-    // succeeded, against the reader's own clock.
+    // Guards against empty address answers after a long table outage: no
+    // heartbeat can be written while the table is down, so every lease lapses
+    // by the times in the rows. Members are judged only by successful scans,
+    // against the reader's own clock.
     let members = Members::default();
     let t = Instant::now();
-    members.observe(vec![member("a", 1, false)], t, LEASE);
+    members.record_scan(vec![member("a", 1, false)], t, LEASE);
     assert_eq!(ids(&members), ["a"]);
     // An hour without a scan: the last answer stands.
     assert_eq!(ids(&members), ["a"]);
-    // The first scan after the outage may come before anyone's first beat.
+    // The first scan after the outage may come before any member's first
+    // heartbeat.
     let later = t + Duration::from_secs(3_600);
-    members.observe(vec![member("a", 1, false)], later, LEASE);
+    members.record_scan(vec![member("a", 1, false)], later, LEASE);
     assert_eq!(ids(&members), ["a"]);
 }
 
 #[test]
-fn live_drops_leaving_either_way() {
+fn live_drops_draining_either_way() {
     let members = Members::default();
     let t = Instant::now();
     let rows = vec![
@@ -59,7 +59,7 @@
         member("b", 1, false),
         member("c", 1, false),
     ];
-    members.observe(rows, t, LEASE);
+    members.record_scan(rows, t, LEASE);
     members.state().leaving = vec!["b".into()];
     assert_eq!(ids(&members), ["c"]);
 }
--- a/crates/comfreyhall-daemon/src/metrics.rs
+++ b/crates/comfreyhall-daemon/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The daemon's metrics, recorded with opentelemetry and served as text.
+//! The daemon's metrics, recorded with OpenTelemetry.
 //!
-//! `GET /v1/metrics` answers in the Prometheus text format. The two figures
-//! the operators weigh come first: load stalls (a histogram, in seconds) and
-//! batch efficiency (a gauge per engine, the used share of its batch steps).
+//! `GET /v1/metrics` returns them in the Prometheus text format. The two most
+//! important for operators are load stalls (a histogram, in seconds) and batch
+//! efficiency (a gauge per engine, the used share of its batch steps).
 
 use std::sync::Mutex;
 
@@ -13,21 +13,21 @@
     metrics::{Counter, Gauge, Histogram},
 };
 
-/// Bounds of the load stall histogram, in seconds.
+/// Bucket bounds of the load stall histogram, in seconds.
 const STALL_BOUNDS: [f64; 10] = [0.0, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0];
 
 /// The daemon's instruments.
 pub(crate) struct Metrics {
     exposition: Exposition,
     stall: Histogram<f64>,
-    missed: Counter<u64>,
+    missed_promises: Counter<u64>,
     requests: Counter<u64>,
     tokens: Counter<u64>,
     resumes: Counter<u64>,
     loads: Counter<u64>,
     quarantine: Counter<u64>,
     efficiency: Gauge<f64>,
-    /// Steps and used slots of each engine at the last report.
+    /// Steps and used slots of each engine in its last report.
     engines: Mutex<Map<String, (u64, u64)>>,
 }
 
@@ -42,7 +42,7 @@
                 .with_description("time a request waited for an adapter load")
                 .with_boundaries(STALL_BOUNDS.to_vec())
                 .build(),
-            missed: meter
+            missed_promises: meter
                 .u64_counter("stall_promises_missed")
                 .with_description("requests that waited longer than their customer's terms")
                 .build(),
@@ -77,55 +77,55 @@
         }
     }
 
-    pub(crate) fn quarantine(&self, change: &'static str) {
+    pub(crate) fn count_quarantine(&self, change: &'static str) {
         self.quarantine.add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Records how long a started request waited for a load, and whether
-    /// that is longer than `promise_ms` (0: nothing was promised).
-    pub(crate) fn stall(&self, waited: std::time::Duration, promise_ms: u64) {
+    /// Records how long a started request waited for a load, and whether that
+    /// exceeds `promised_ms` (0: no promise).
+    pub(crate) fn record_stall(&self, waited: std::time::Duration, promised_ms: u64) {
         self.stall.record(waited.as_secs_f64(), &[]);
-        if promise_ms > 0 && waited.as_millis() as u64 > promise_ms {
-            self.missed.add(1, &[]);
+        if promised_ms > 0 && waited.as_millis() as u64 > promised_ms {
+            self.missed_promises.add(1, &[]);
         }
     }
 
-    /// Counts a request that ended as `how`.
-    pub(crate) fn request(&self, how: &'static str) {
-        self.requests.add(1, &[KeyValue::new("how", how)]);
+    /// Counts a request by its outcome.
+    pub(crate) fn count_request(&self, outcome: &'static str) {
+        self.requests.add(1, &[KeyValue::new("how", outcome)]);
     }
 
-    /// Counts a token passed on.
-    pub(crate) fn token(&self) {
+    /// Counts a token forwarded to a caller.
+    pub(crate) fn count_token(&self) {
         self.tokens.add(1, &[]);
     }
 
-    /// Counts an answer that went on at another engine.
-    pub(crate) fn resume(&self) {
+    /// Counts an answer resumed on another engine.
+    pub(crate) fn count_resume(&self) {
         self.resumes.add(1, &[]);
     }
 
-    /// Counts a load order.
-    pub(crate) fn load(&self) {
+    /// Counts a load command sent to an engine.
+    pub(crate) fn count_load(&self) {
         self.loads.add(1, &[]);
     }
 
-    /// Takes an engine's report: its batch efficiency since the last one.
-    pub(crate) fn engine(&self, id: &str, status: &EngineStatus) {
+    /// Records the batch efficiency of an engine since its previous report.
+    pub(crate) fn record_engine(&self, id: &str, status: &EngineStatus) {
         let mut engines = self.engines.lock().expect("no holder of this lock panics");
-        let now = (status.steps, status.used);
-        let before = engines.insert(id.to_string(), now).unwrap_or(now);
-        let steps = status.steps.saturating_sub(before.0);
-        let used = status.used.saturating_sub(before.1);
+        let current = (status.steps, status.used);
+        let previous = engines.insert(id.to_string(), current).unwrap_or(current);
+        let steps = status.steps.saturating_sub(previous.0);
+        let used = status.used.saturating_sub(previous.1);
         if steps > 0 && status.width > 0 {
-            let share = used as f64 / (steps * u64::from(status.width)) as f64;
+            let used_share = used as f64 / (steps * u64::from(status.width)) as f64;
             let engine = KeyValue::new("engine", id.to_string());
-            self.efficiency.record(share, &[engine]);
+            self.efficiency.record(used_share, &[engine]);
         }
     }
 
-    /// Everything recorded so far, in the Prometheus text format.
-    pub(crate) fn text(&self) -> String {
+    /// All metrics in the Prometheus text format.
+    pub(crate) fn render(&self) -> String {
         self.exposition.text()
     }
 }
--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -1,22 +1,23 @@
-//! Load orders: which daemon gives them, and how.
+//! Load commands: which daemon sends them to the engines, and how.
 //!
-//! One daemon at a time orders loads, the holder of the `orders` lease; the
-//! others ask it to place an adapter ([`place`]) and run their request where
-//! it says. Without that, daemons that met the same newly popular adapter
-//! within a status report's lag each ordered a load of it, on different
-//! engines, and the weight store's few loads a second went into copies.
+//! Only one daemon at a time commands loads: the holder of the `orders` lease.
+//! The others ask it to place an adapter ([`place`]) and run their request on
+//! the engine that it names. Without a single holder, several daemons that see
+//! the same newly popular adapter within the delay of a status report each load
+//! it on a different engine, and the few loads per second that the weight store
+//! serves are spent on duplicates.
 //!
-//! Every order carries the lease's fencing token, so engines that check
-//! tokens refuse an order of a holder that was paused and replaced. At
-//! engines that do not check, such an order can at worst waste a load: a
-//! slot in use is pinned whoever asks.
+//! Every command carries the lease's fencing token, so engines that check
+//! tokens reject a command from a holder that was paused and replaced. At
+//! engines that do not check, such a command can at worst waste a load: a slot
+//! in use is pinned, whoever sends the command.
 //!
-//! What can go wrong: the table is down and the holder dies. No new holder
-//! can be made, and adapters that are not resident would be refused for as
-//! long as the outage lasts. A daemon out of touch with the table for longer
-//! than the lease therefore orders by itself, under the last token it saw:
-//! nobody can have a higher one, and once the table is back the next holder
-//! will, which ends such orders.
+//! Failure case: the table service is down and the holder dies. No new holder
+//! can be elected, and adapters that are not resident would be rejected until
+//! the outage ends. A daemon that has not reached the table for longer than the
+//! lease term therefore commands loads itself, under the highest token it has
+//! seen. No daemon can have a higher one, and once the table is back the next
+//! holder does, which ends such commands.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -35,64 +36,65 @@
     outbound::{self, Target},
 };
 
-/// Time a load may take beyond twice its turn at the weight store.
+/// Time a load may take beyond twice the expected wait at the weight store.
 const LOAD_SLACK: Duration = Duration::from_secs(3);
 
-/// Longest a background copy is waited for.
-const COPY_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a background copy.
+const COPY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause before asking again while nobody holds the lease.
-const HOLDER_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before another attempt while nobody holds the lease.
+const HOLDER_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How often demand is reported to the holder.
+/// How often demand is reported to the lease holder.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 
-/// Steps of the lease task per lease term.
-const STEPS: u32 = 4;
+/// Runs of the lease task per lease term.
+const STEPS_PER_TERM: u32 = 4;
 
-/// What became of asking for an adapter.
+/// Result of a request to place an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Placed {
-    /// It is in a slot of this engine already.
+pub(crate) enum PlaceOutcome {
+    /// Already in a slot of this engine.
     Resident(usize),
-    /// It was loaded into a slot of this engine.
+    /// Loaded into a slot of this engine.
     Loaded(usize),
-    /// It could not be loaded this time; ask again.
+    /// Could not be loaded this time; try again.
     Failed,
-    /// No engine can take it now.
+    /// No engine has a free slot now.
     Busy,
 }
 
-/// An adapter version to place.
-struct Wanted<'a> {
+/// An adapter version to place on an engine.
+struct Placement<'a> {
     key: &'a Arc<str>,
-    limit: Duration,
-    /// A copy may only take the slots it names: it must not push out the
-    /// last copy of anything.
+    timeout: Duration,
+    /// Whether this is an additional copy. A copy may evict only the adapters
+    /// named in its command, so that it never evicts the last copy of another
+    /// adapter.
     copy: bool,
 }
 
-impl Wanted<'_> {
-    fn parts(&self) -> (&str, &str) {
+impl Placement<'_> {
+    fn adapter_and_version(&self) -> (&str, &str) {
         self.key.split_once('@').unwrap_or((self.key, ""))
     }
 }
 
-/// Starts the task that holds or watches the lease on orders.
+/// Starts the task that acquires, renews or watches the lease on load commands.
 pub(crate) fn spawn(app: &App) {
     let app = app.clone();
     let term = lease_term(&app);
     tokio::spawn(async move {
-        let mut tick = tokio::time::interval(term / STEPS);
+        let mut tick = tokio::time::interval(term / STEPS_PER_TERM);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut held = false;
+        let mut was_held = false;
         loop {
             tick.tick().await;
             let lease = &app.inner.lease;
-            let want = app.inner.life.stage() == Stage::Serving;
+            let should_hold = app.inner.lifecycle.stage() == Stage::Serving;
             let step = async {
-                match want || !held {
-                    true => lease.step(Instant::now, want).await,
+                match should_hold || !was_held {
+                    true => lease.step(Instant::now, should_hold).await,
                     false => lease.release().await,
                 }
             };
@@ -100,8 +102,8 @@
                 log::debug!(target: "orders", "lease not renewed: {e}");
             }
             let token = lease.token(Instant::now());
-            if token.is_some() != held {
-                held = token.is_some();
+            if token.is_some() != was_held {
+                was_held = token.is_some();
                 match token {
                     Some(token) => {
                         log::info!(target: "orders", "holding the lease under token {token}")
@@ -113,11 +115,11 @@
     });
 }
 
-/// Starts the task that reports demand to the holder.
+/// Starts the task that reports demand to the lease holder.
 ///
-/// The holder decides what stays resident, but requests that others serve
-/// from resident adapters never reach it: without these reports it took the
-/// adapters in steadiest use elsewhere for cold, and evicted them.
+/// The holder decides which adapters stay resident, but requests that other
+/// daemons serve from resident adapters never reach it. Without these reports
+/// it treats the adapters in steadiest use elsewhere as cold and evicts them.
 pub(crate) fn spawn_reports(app: &App) {
     let app = app.clone();
     tokio::spawn(async move {
@@ -125,7 +127,7 @@
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
-            let demands = app.inner.demand.take();
+            let demands = app.inner.demand.drain();
             if demands.is_empty() {
                 continue;
             }
@@ -133,7 +135,7 @@
                 && let Some(peer) = app.inner.peers.get(&holder)
             {
                 let report = DemandReport { demands };
-                app.inner.counters.control(report.encoded_len(), 0);
+                app.inner.counters.count_control(report.encoded_len(), 0);
                 let mut peer = peer.clone();
                 let _ = tokio::time::timeout(REPORT_PERIOD, peer.report(report)).await;
             }
@@ -141,12 +143,12 @@
     });
 }
 
-/// Takes over what a peer served.
-pub(crate) fn learn(app: &App, report: DemandReport) {
+/// Adds a peer's demand report to the placement policy.
+pub(crate) fn record_demand(app: &App, report: DemandReport) {
     let now = app.now_ms();
     let mut policy = app.policy();
-    for d in report.demands {
-        policy.record_requests(&d.key, d.requests, now);
+    for demand in report.demands {
+        policy.record_requests(&demand.key, demand.requests, now);
     }
 }
 
@@ -154,32 +156,32 @@
     Duration::from_millis(app.inner.settings.tuning.lease_ms)
 }
 
-/// Sees that `key` (`adapter@version`) is in a slot of some engine.
-pub(crate) async fn place(app: &App, key: &Arc<str>, limit: Duration) -> Placed {
-    let wanted = Wanted {
+/// Ensures that `key` (`adapter@version`) is in a slot of some engine.
+pub(crate) async fn place(app: &App, key: &Arc<str>, timeout: Duration) -> PlaceOutcome {
+    let placement = Placement {
         key,
-        limit,
+        timeout,
         copy: false,
     };
-    let decision = decide(app, key);
+    let decision = decide_placement(app, key);
     if decision == Decision::Busy {
-        return Placed::Busy;
+        return PlaceOutcome::Busy;
     }
-    if let Some(engine) = resident(app, &decision, key) {
+    if let Some(engine) = resident_engine(app, &decision, key) {
         match app.inner.lease.token(Instant::now()) {
-            Some(token) => start_copy(app, &wanted, decision, token),
+            Some(token) => start_copy(app, &placement, decision, token),
             None => app.inner.demand.count(key),
         }
-        return Placed::Resident(engine);
+        return PlaceOutcome::Resident(engine);
     }
-    // Someone may ask for it at a time when nobody holds the lease: wait for
-    // the next holder, at most two terms, rather than refuse.
-    let until = Instant::now() + limit.min(2 * lease_term(app));
+    // Nobody may hold the lease at the moment: wait for the next holder, at
+    // most two terms, instead of rejecting the request.
+    let give_up_at = Instant::now() + timeout.min(2 * lease_term(app));
     loop {
         match app.inner.lease.status(Instant::now()) {
-            LeaseStatus::Held(token) => return order(app, &wanted, decision, token).await,
+            LeaseStatus::Held(token) => return execute(app, &placement, decision, token).await,
             LeaseStatus::HeldByOther(holder) => {
-                if let Some(placed) = ask(app, &holder, &wanted).await {
+                if let Some(placed) = request_from_holder(app, &holder, &placement).await {
                     return placed;
                 }
             }
@@ -187,202 +189,212 @@
         }
         if app.inner.follower.quiet() >= lease_term(app) {
             let token = app.inner.lease.highest_token();
-            return order(app, &wanted, decision, token).await;
+            return execute(app, &placement, decision, token).await;
         }
-        if Instant::now() >= until {
-            return Placed::Failed;
+        if Instant::now() >= give_up_at {
+            return PlaceOutcome::Failed;
         }
-        tokio::time::sleep(HOLDER_PAUSE).await;
+        tokio::time::sleep(HOLDER_RETRY_DELAY).await;
     }
 }
 
-fn decide(app: &App, key: &Arc<str>) -> Decision {
+fn decide_placement(app: &App, key: &Arc<str>) -> Decision {
     let mut view = app.view().clone();
-    app.inner.stuck.hide(key, &mut view);
-    outbound::hide(app, &mut view);
+    app.inner.stuck_loads.hide_engines(key, &mut view);
+    outbound::hide_unavailable(app, &mut view);
     let now = app.now_ms();
     app.policy().route(key, &view, now)
 }
 
-/// The engine where `decision` runs `key` at once, if there is one.
-fn resident(app: &App, decision: &Decision, key: &str) -> Option<usize> {
+/// The engine on which `decision` can run `key` without a load, if any.
+fn resident_engine(app: &App, decision: &Decision, key: &str) -> Option<usize> {
     match decision {
         Decision::Run { engine } | Decision::RunAndCopy { engine, .. } => {
-            (!loading(app, *engine, key)).then_some(*engine)
+            (!is_loading(app, *engine, key)).then_some(*engine)
         }
         Decision::Load { .. } | Decision::Busy => None,
     }
 }
 
-/// Asks the holder to place an adapter; `None` if it did not take it on.
-async fn ask(app: &App, holder: &str, wanted: &Wanted<'_>) -> Option<Placed> {
+/// Asks the lease holder to place an adapter; `None` if it did not accept.
+async fn request_from_holder(
+    app: &App,
+    holder: &str,
+    placement: &Placement<'_>,
+) -> Option<PlaceOutcome> {
     let mut peer = app.inner.peers.get(holder)?.clone();
-    let (adapter, version) = wanted.parts();
-    let ask = PlaceRequest {
+    let (adapter, version) = placement.adapter_and_version();
+    let request = PlaceRequest {
         adapter: adapter.to_string(),
         version: version.to_string(),
-        limit_ms: wanted.limit.as_millis() as u64,
+        limit_ms: placement.timeout.as_millis() as u64,
     };
-    let answer = tokio::time::timeout(wanted.limit, peer.place(ask)).await;
+    let answer = tokio::time::timeout(placement.timeout, peer.place(request)).await;
     let reply = answer.ok()?.ok()?.into_inner();
     if reply.busy {
-        return Some(Placed::Busy);
+        return Some(PlaceOutcome::Busy);
     }
     if reply.engine.is_empty() {
-        return (!reply.error.is_empty()).then_some(Placed::Failed);
+        return (!reply.error.is_empty()).then_some(PlaceOutcome::Failed);
     }
     let engines = &app.inner.settings.engines;
     let engine = engines.iter().position(|e| *e.id == *reply.engine)?;
-    show(app, engine, wanted.key, "");
-    Some(Placed::Loaded(engine))
+    show_resident(app, engine, placement.key, "");
+    Some(PlaceOutcome::Loaded(engine))
 }
 
-/// Answers a peer that asks us, as the holder, to place an adapter.
+/// Places an adapter for a peer, if this daemon is the lease holder.
 ///
-/// An empty answer says that we do not hold the lease.
-pub(crate) async fn place_for(app: &App, ask: PlaceRequest) -> PlaceReply {
-    let key: Arc<str> = format!("{}@{}", ask.adapter, ask.version).into();
+/// An empty reply means that this daemon does not hold the lease.
+pub(crate) async fn place_for_peer(app: &App, request: PlaceRequest) -> PlaceReply {
+    let key: Arc<str> = format!("{}@{}", request.adapter, request.version).into();
     let Some(token) = app.inner.lease.token(Instant::now()) else {
         return PlaceReply::default();
     };
-    let wanted = Wanted {
+    let placement = Placement {
         key: &key,
-        limit: Duration::from_millis(ask.limit_ms),
+        timeout: Duration::from_millis(request.limit_ms),
         copy: false,
     };
-    let decision = decide(app, &key);
-    match order(app, &wanted, decision, token).await {
-        Placed::Resident(engine) | Placed::Loaded(engine) => PlaceReply {
+    let decision = decide_placement(app, &key);
+    match execute(app, &placement, decision, token).await {
+        PlaceOutcome::Resident(engine) | PlaceOutcome::Loaded(engine) => PlaceReply {
             engine: app.inner.settings.engines[engine].id.to_string(),
             ..PlaceReply::default()
         },
         placed => PlaceReply {
             error: "no engine could load it now".to_string(),
-            busy: placed == Placed::Busy,
+            busy: placed == PlaceOutcome::Busy,
             ..PlaceReply::default()
         },
     }
 }
 
-/// Carries out a decision under fencing token `token`.
-async fn order(app: &App, wanted: &Wanted<'_>, decision: Decision, token: u64) -> Placed {
-    if let Some(engine) = resident(app, &decision, wanted.key) {
-        start_copy(app, wanted, decision, token);
-        return Placed::Resident(engine);
+/// Carries out `decision` under fencing token `token`.
+async fn execute(
+    app: &App,
+    placement: &Placement<'_>,
+    decision: Decision,
+    token: u64,
+) -> PlaceOutcome {
+    if let Some(engine) = resident_engine(app, &decision, placement.key) {
+        start_copy(app, placement, decision, token);
+        return PlaceOutcome::Resident(engine);
     }
     let (engine, victims) = match decision {
-        Decision::Busy => return Placed::Busy,
-        // The adapter is on its way to that engine: join the load rather
-        // than order it again elsewhere.
+        Decision::Busy => return PlaceOutcome::Busy,
+        // The adapter is being loaded there: join that load instead of starting
+        // another one elsewhere.
         Decision::Run { engine } | Decision::RunAndCopy { engine, .. } => (engine, Vec::new()),
         Decision::Load { engine, victims } => (engine, victims),
     };
-    match load(app, engine, wanted, victims, token).await {
-        true => Placed::Loaded(engine),
-        false => Placed::Failed,
+    match load(app, engine, placement, victims, token).await {
+        true => PlaceOutcome::Loaded(engine),
+        false => PlaceOutcome::Failed,
     }
 }
 
-/// Orders the copy that `decision` asks for, if any, in the background.
+/// Starts the copy that `decision` requests, if any, in the background.
 ///
 /// At most one copy is in flight: copies share the weight store with first
-/// loads, and a queue of copies would delay the loads that requests are
-/// actually waiting for.
-fn start_copy(app: &App, wanted: &Wanted<'_>, decision: Decision, token: u64) {
+/// loads, and a queue of copies would delay loads that requests are waiting
+/// for.
+fn start_copy(app: &App, placement: &Placement<'_>, decision: Decision, token: u64) {
     let Decision::RunAndCopy { copy, victims, .. } = decision else {
         return;
     };
-    if app.inner.copying.swap(true, Ordering::AcqRel) {
+    if app.inner.copy_in_flight.swap(true, Ordering::AcqRel) {
         return;
     }
     let app = app.clone();
-    let key = wanted.key.clone();
+    let key = placement.key.clone();
     tokio::spawn(async move {
-        let wanted = Wanted {
+        let placement = Placement {
             key: &key,
-            limit: COPY_LIMIT,
+            timeout: COPY_TIMEOUT,
             copy: true,
         };
-        load(&app, copy, &wanted, victims, token).await;
-        app.inner.copying.store(false, Ordering::Release);
+        load(&app, copy, &placement, victims, token).await;
+        app.inner.copy_in_flight.store(false, Ordering::Release);
     });
 }
 
-/// Orders an adapter into a slot of `engine`; true once it is resident.
+/// Commands `engine` to load an adapter; true once it is resident.
 ///
-/// The order goes on at the engine when the limit passes here: other
+/// The engine continues the load after the timeout passes here, because other
 /// requests may have joined it.
 async fn load(
     app: &App,
     engine: usize,
-    wanted: &Wanted<'_>,
+    placement: &Placement<'_>,
     victims: Vec<Arc<str>>,
     token: u64,
 ) -> bool {
-    let key = wanted.key;
+    let key = placement.key;
     let target = Target::Engine(engine);
-    if outbound::closed_ms(app, target) > 0 {
+    if outbound::unavailable_ms(app, target) > 0 {
         return false;
     }
-    let (adapter, version) = wanted.parts();
-    let order = LoadOrder {
+    let (adapter, version) = placement.adapter_and_version();
+    let command = LoadOrder {
         adapter: adapter.to_string(),
         version: version.to_string(),
         victims: victims.iter().map(|v| v.to_string()).collect(),
         fence: token,
-        only_named: wanted.copy,
+        only_named: placement.copy,
     };
     mark_loading(app, engine, key);
-    app.inner.metrics.load();
-    let mut client = app.inner.clients[engine].clone();
-    let patience = patience(app);
-    let answer = tokio::time::timeout(wanted.limit.min(patience), client.load(order)).await;
-    let answer = answer.map(|a| outbound::hear(app, target, None, a));
+    app.inner.metrics.count_load();
+    let mut client = app.inner.engine_clients[engine].clone();
+    let load_timeout = load_timeout(app);
+    let answer =
+        tokio::time::timeout(placement.timeout.min(load_timeout), client.load(command)).await;
+    let answer = answer.map(|a| outbound::record_answer(app, target, None, a));
     let why = match answer {
         Ok(Ok(reply)) => {
             let reply = reply.into_inner();
             if reply.loaded {
-                show(app, engine, key, &reply.evicted);
+                show_resident(app, engine, key, &reply.evicted);
                 return true;
             }
             format!("refused: {}", reply.error)
         }
         Ok(Err(s)) => format!("failed: {}", s.message()),
-        Err(_) if wanted.limit >= patience => {
-            app.inner.stuck.note(engine, key);
+        Err(_) if placement.timeout >= load_timeout => {
+            app.inner.stuck_loads.mark(engine, key);
             "is stuck; its engine is avoided for it".to_string()
         }
-        Err(_) => "outlasted its request".to_string(),
+        Err(_) => "took longer than its request allows".to_string(),
     };
     log::warn!(target: "orders", "load of {key} {why}");
-    forget(app, engine, key);
+    remove_from_view(app, engine, key);
     false
 }
 
-/// How long a load ordered now is waited for before it counts as stuck.
+/// Time after which a load started now counts as stuck.
 ///
-/// The weight store takes loads in turn, so a long wait alone proves
-/// nothing; twice the time that the loads on their way need does.
-fn patience(app: &App) -> Duration {
-    let on_way = |e: &EngineView| e.slots.iter().filter(|s| s.loading).count();
-    let pending: usize = app.view().iter().map(on_way).sum();
+/// The weight store serves loads in turn, so a long wait alone proves nothing;
+/// twice the time that all pending loads need does.
+fn load_timeout(app: &App) -> Duration {
+    let loading_slots = |e: &EngineView| e.slots.iter().filter(|s| s.loading).count();
+    let pending: usize = app.view().iter().map(loading_slots).sum();
     let rate = app.inner.settings.platform.loads_per_sec;
     LOAD_SLACK + Duration::from_secs_f64(2.0 * (pending + 1) as f64 / rate)
 }
 
-/// Whether the view shows `key` on its way to `engine`.
-fn loading(app: &App, engine: usize, key: &str) -> bool {
+/// Whether the view shows `key` as loading on `engine`.
+fn is_loading(app: &App, engine: usize, key: &str) -> bool {
     let view = app.view();
     let mut slots = view[engine].slots.iter();
     slots.any(|s| &*s.key == key && s.loading)
 }
 
-/// Shows `key` as loading on `engine` in the view until the order ends.
+/// Shows `key` as loading on `engine` in the view until the command ends.
 ///
-/// Without it, every request for a cold adapter that came before the next
-/// status poll ordered its own load, often on another engine: the weight
-/// store queue filled with copies of the same few adapters and stalls grew
-/// to seconds for everyone.
+/// Otherwise every request for a cold adapter that arrives before the next
+/// status poll starts its own load, often on another engine. The weight store's
+/// queue then fills with duplicates of the same few adapters, and load waits
+/// grow to seconds for all callers.
 fn mark_loading(app: &App, engine: usize, key: &Arc<str>) {
     let mut view = app.view();
     let slots = &mut view[engine].slots;
@@ -395,9 +407,9 @@
     }
 }
 
-/// Shows `key` as resident on `engine`, in place of `evicted`, at once, so
-/// that requests that follow see it before the next status poll.
-fn show(app: &App, engine: usize, key: &Arc<str>, evicted: &str) {
+/// Shows `key` as resident on `engine`, in place of `evicted`, so that later
+/// requests see it before the next status poll.
+fn show_resident(app: &App, engine: usize, key: &Arc<str>, evicted: &str) {
     let mut view = app.view();
     let slots = &mut view[engine].slots;
     slots.retain(|s| *s.key != *evicted && s.key != *key);
@@ -408,7 +420,7 @@
     });
 }
 
-/// Drops `key` from `engine` in the view.
-pub(crate) fn forget(app: &App, engine: usize, key: &str) {
+/// Removes `key` from `engine` in the view.
+pub(crate) fn remove_from_view(app: &App, engine: usize, key: &str) {
     app.view()[engine].slots.retain(|s| &*s.key != key);
 }
--- a/crates/comfreyhall-daemon/src/outbound.rs
+++ b/crates/comfreyhall-daemon/src/outbound.rs
@@ -1,9 +1,9 @@
-//! What engines and plain services say of themselves, and whether they may be
-//! sent to.
+//! Limits, cooldowns and draining announced by engines and plain services, and
+//! whether a target may be called.
 //!
-//! `comfreyhall-backpressure` reads and keeps their words; here every call to a
-//! target asks before it is made, and hears the answer. A limit is kept in equal
-//! parts of all instances of the settings.
+//! `comfreyhall-backpressure` parses and keeps these notices. Here every call
+//! to a target is checked before it is made, and its answer is read for
+//! notices. A limit is divided equally among all instances in the settings.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -16,10 +16,11 @@
 
 use crate::{app::App, error::RouteError};
 
-/// When to come back where all targets leave, in ms: others come in some seconds.
-const LEAVING_MS: u64 = 1_000;
+/// Retry delay while all targets drain, in ms: replacements start within some
+/// seconds.
+const DRAINING_RETRY_MS: u64 = 1_000;
 
-/// A target of this daemon.
+/// A target that this daemon calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Target {
     /// The engine with this index.
@@ -28,7 +29,7 @@
     Service(usize),
 }
 
-/// What targets have said.
+/// Notices received from targets.
 #[derive(Default)]
 pub(crate) struct Outbound {
     state: Mutex<State>,
@@ -36,8 +37,8 @@
 
 #[derive(Default)]
 struct State {
-    gates: TargetSignals,
-    parts: LimitShares,
+    signals: TargetSignals,
+    shares: LimitShares,
 }
 
 impl Outbound {
@@ -46,142 +47,157 @@
     }
 }
 
-/// The name of one start of `target`; a plain service does not tell its starts
-/// apart.
-fn name(app: &App, target: Target) -> Arc<str> {
+/// Name of the current boot (one start of the process) of `target`; a plain
+/// service does not distinguish its boots.
+fn boot_name(app: &App, target: Target) -> Arc<str> {
     let settings = &app.inner.settings;
     match target {
-        Target::Engine(at) => format!("{}#{}", settings.engines[at].id, app.boot(at)).into(),
-        Target::Service(at) => settings.services[at].id.clone(),
+        Target::Engine(index) => {
+            format!("{}#{}", settings.engines[index].id, app.boot(index)).into()
+        }
+        Target::Service(index) => settings.services[index].id.clone(),
     }
 }
 
-/// Ms for which `target` takes neither calls nor orders, whatever its limit.
-pub(crate) fn closed_ms(app: &App, target: Target) -> u64 {
+/// Time in ms for which `target` accepts neither calls nor commands, regardless
+/// of its limit.
+pub(crate) fn unavailable_ms(app: &App, target: Target) -> u64 {
     let state = app.inner.outbound.state();
-    if state.gates.is_empty() {
+    if state.signals.is_empty() {
         return 0;
     }
-    let (name, now) = (name(app, target), app.now_ms());
-    match state.gates.is_draining(&name, now) {
-        true => LEAVING_MS,
-        false => state.gates.cooldown_ms(&name, now),
+    let (boot_name, now) = (boot_name(app, target), app.now_ms());
+    match state.signals.is_draining(&boot_name, now) {
+        true => DRAINING_RETRY_MS,
+        false => state.signals.cooldown_ms(&boot_name, now),
     }
 }
 
-/// Ms until a request may be worth sending to `target`.
+/// Time in ms until `target` may accept a request.
 fn wait_ms(app: &App, target: Target) -> u64 {
-    let closed = closed_ms(app, target);
+    let unavailable = unavailable_ms(app, target);
     let state = app.inner.outbound.state();
-    let (name, now) = (name(app, target), app.now_ms());
-    let limit = state.gates.limit(&name, now);
+    let (boot_name, now) = (boot_name(app, target), app.now_ms());
+    let limit = state.signals.limit(&boot_name, now);
     let daemons = app.inner.settings.instances.len();
-    let limited = limit.map_or(0, |l| state.parts.wait_ms(&name, l, daemons, now));
-    closed.max(limited)
+    let limit_wait_ms = limit.map_or(0, |limit| {
+        state.shares.wait_ms(&boot_name, limit, daemons, now)
+    });
+    unavailable.max(limit_wait_ms)
 }
 
-/// Whether a request may be sent to `target` now; asked right before each send.
+/// Admits one request to `target`, or says when to retry; called right before
+/// each send.
 pub(crate) fn admit(app: &App, target: Target) -> Result<(), RouteError> {
-    let closed = closed_ms(app, target);
-    if closed > 0 {
-        return Err(RouteError::Shut(closed));
+    let unavailable = unavailable_ms(app, target);
+    if unavailable > 0 {
+        return Err(RouteError::Unavailable(unavailable));
     }
     let mut state = app.inner.outbound.state();
-    if state.gates.is_empty() {
+    if state.signals.is_empty() {
         return Ok(());
     }
-    let (name, now) = (name(app, target), app.now_ms());
-    let Some(limit) = state.gates.limit(&name, now) else {
+    let (boot_name, now) = (boot_name(app, target), app.now_ms());
+    let Some(limit) = state.signals.limit(&boot_name, now) else {
         return Ok(());
     };
     let daemons = app.inner.settings.instances.len();
-    let taken = state.parts.try_take(&name, limit, daemons, now);
-    taken.map_err(RouteError::Shut)
+    let taken = state.shares.try_take(&boot_name, limit, daemons, now);
+    taken.map_err(RouteError::Unavailable)
 }
 
-/// Hides engines that take nothing now from `view`.
-pub(crate) fn hide(app: &App, view: &mut [EngineView]) {
-    if app.inner.outbound.state().gates.is_empty() {
+/// Marks engines that accept nothing now as down in `view`.
+pub(crate) fn hide_unavailable(app: &App, view: &mut [EngineView]) {
+    if app.inner.outbound.state().signals.is_empty() {
         return;
     }
-    for (at, engine) in view.iter_mut().enumerate() {
-        engine.up &= wait_ms(app, Target::Engine(at)) == 0;
+    for (index, engine) in view.iter_mut().enumerate() {
+        engine.up &= wait_ms(app, Target::Engine(index)) == 0;
     }
 }
 
-/// Ms until one of `targets` may take something, if none does now.
-pub(crate) fn all_ms(app: &App, targets: impl Iterator<Item = Target>) -> Option<u64> {
-    if app.inner.outbound.state().gates.is_empty() {
+/// Time in ms until one of `targets` may accept a request, if none does now.
+pub(crate) fn all_unavailable_ms(app: &App, targets: impl Iterator<Item = Target>) -> Option<u64> {
+    if app.inner.outbound.state().signals.is_empty() {
         return None;
     }
-    let waits: Vec<u64> = targets.map(|t| wait_ms(app, t)).collect();
+    let waits: Vec<u64> = targets.map(|target| wait_ms(app, target)).collect();
     waits.into_iter().min().filter(|ms| *ms > 0)
 }
 
-/// The answer of `target` to a request sent at `sent`, or to something else,
-/// heard.
-pub(crate) fn hear<T>(
+/// Records the notices in an answer of `target` and passes the answer on.
+/// `sent_at_ms`: when the request was sent; `None` for calls that are not
+/// requests.
+pub(crate) fn record_answer<T>(
     app: &App,
     target: Target,
-    sent: Option<u64>,
+    sent_at_ms: Option<u64>,
     answer: Result<Response<T>, Status>,
 ) -> Result<Response<T>, Status> {
     match &answer {
-        Ok(reply) => take(app, target, sent, reply.metadata(), false),
-        Err(status) => take(app, target, sent, status.metadata(), true),
+        Ok(reply) => record_metadata(app, target, sent_at_ms, reply.metadata(), false),
+        Err(status) => record_metadata(app, target, sent_at_ms, status.metadata(), true),
     }
     answer
 }
 
-fn take(app: &App, target: Target, sent: Option<u64>, metadata: &MetadataMap, turned: bool) {
-    let mut odd = Vec::new();
-    let limit = parse_limit(values(metadata, LIMIT), &mut odd);
-    let mut rest_ms = match turned {
-        true => parse_cooldown(values(metadata, REST), &mut odd),
+fn record_metadata(
+    app: &App,
+    target: Target,
+    sent_at_ms: Option<u64>,
+    metadata: &MetadataMap,
+    rejected: bool,
+) {
+    let mut anomalies = Vec::new();
+    let limit = parse_limit(values(metadata, LIMIT), &mut anomalies);
+    let mut cooldown_ms = match rejected {
+        true => parse_cooldown(values(metadata, REST), &mut anomalies),
         false => None,
     };
-    let leaving = parse_draining(values(metadata, LEAVING), &mut rest_ms, &mut odd);
+    let draining = parse_draining(values(metadata, LEAVING), &mut cooldown_ms, &mut anomalies);
     let notice = Notice {
         limit,
-        cooldown_ms: rest_ms,
-        draining: leaving,
-        anomalies: odd,
+        cooldown_ms,
+        draining,
+        anomalies,
     };
-    let (name, now) = (name(app, target), app.now_ms());
+    let (boot_name, now) = (boot_name(app, target), app.now_ms());
     let mut state = app.inner.outbound.state();
-    let changes = state.gates.record_notice(&name, &notice, sent, now);
-    let ended = match state.gates.is_empty() {
+    let changes = state
+        .signals
+        .record_notice(&boot_name, &notice, sent_at_ms, now);
+    let expired = match state.signals.is_empty() {
         true => Vec::new(),
-        false => state.gates.expire(now),
+        false => state.signals.expire(now),
     };
-    let State { gates, parts } = &mut *state;
-    parts.retain(|target| gates.limit(target, now).is_some());
+    let State { signals, shares } = &mut *state;
+    shares.retain(|target| signals.limit(target, now).is_some());
     drop(state);
     for problem in notice.anomalies {
-        log::debug!(target: "outbound", "{name} says something odd: {problem}");
+        log::debug!(target: "outbound", "{boot_name} sent an invalid notice: {problem}");
     }
     for change in changes {
-        tell(&name, change);
+        log_change(&boot_name, change);
     }
-    for (name, change) in ended {
-        tell(&name, change);
+    for (boot_name, change) in expired {
+        log_change(&boot_name, change);
     }
 }
 
-fn tell(name: &str, change: Change) {
+fn log_change(boot_name: &str, change: Change) {
     match change {
         Change::Limited { limit, .. } => {
-            log::info!(target: "outbound", "{name} takes {} requests a second", limit.per_s());
+            log::info!(target: "outbound", "{boot_name} accepts {} requests per second", limit.per_s());
         }
         Change::Unlimited { after_ms } => {
-            log::info!(target: "outbound", "{name} is no longer limited, after {after_ms} ms");
+            log::info!(target: "outbound", "{boot_name} is no longer limited, after {after_ms} ms");
+        }
+        Change::CooldownStarted { cooldown_ms } => {
+            log::info!(target: "outbound", "{boot_name} asks for a cooldown of {cooldown_ms} ms");
         }
-        Change::CooldownStarted {
-            cooldown_ms: rest_ms,
-        } => {
-            log::info!(target: "outbound", "{name} wants {rest_ms} ms of rest");
+        Change::CooldownEnded => {
+            log::info!(target: "outbound", "{boot_name} has ended its cooldown")
         }
-        Change::CooldownEnded => log::info!(target: "outbound", "{name} has had its rest"),
-        Change::Draining => log::info!(target: "outbound", "{name} leaves"),
+        Change::Draining => log::info!(target: "outbound", "{boot_name} is draining"),
     }
 }
--- a/crates/comfreyhall-daemon/src/peer.rs
+++ b/crates/comfreyhall-daemon/src/peer.rs
@@ -1,9 +1,9 @@
-//! Keeping up with the catalog, through the table or through peers.
+//! Follows the catalog, through the table service or through peers.
 //!
-//! The follow task polls the table's epoch. When the table does not answer
-//! this daemon, others may still reach it, and a configuration they follow
-//! must be in force here too; so the task then asks a peer for its news.
-//! The gRPC service that peers ask is here as well.
+//! The follow task polls the table's epoch. If the table does not answer this
+//! daemon, other daemons may still reach it, and a configuration that is active
+//! on them must become active here too; so the task then asks peers for
+//! changes. The module also contains the gRPC service that peers call.
 
 use std::time::Duration;
 
@@ -20,24 +20,24 @@
 
 use crate::{app::App, orders, quarantine};
 
-/// Longest the table may take to say whether anything changed, before peers are
-/// asked.
+/// Longest time the table may take to say whether anything changed, before
+/// peers are asked.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest what changed may take to arrive, from the table or a peer. A connection
-/// that falls silent is noticed by its keepalives.
-const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of a transfer of changes from the table or a peer. Connections that
+/// fall silent are detected by their keepalives.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Peers asked per poll that failed.
-const PEERS_ASKED: usize = 2;
+/// Peers asked after each failed poll.
+const MAX_PEERS: usize = 2;
 
-/// Answers the other daemons.
-pub(crate) struct Answers {
+/// The gRPC service for other daemons.
+pub(crate) struct PeerService {
     pub(crate) app: App,
 }
 
 #[tonic::async_trait]
-impl Peer for Answers {
+impl Peer for PeerService {
     async fn sync(&self, req: Request<SyncRequest>) -> Result<Response<SyncReply>, Status> {
         let follower = &self.app.inner.follower;
         if !follower.synced() {
@@ -47,18 +47,21 @@
     }
 
     async fn place(&self, req: Request<PlaceRequest>) -> Result<Response<PlaceReply>, Status> {
-        let reply = orders::place_for(&self.app, req.into_inner()).await;
+        let reply = orders::place_for_peer(&self.app, req.into_inner()).await;
         Ok(Response::new(reply))
     }
 
     async fn swap(&self, req: Request<Findings>) -> Result<Response<Findings>, Status> {
         let theirs = req.into_inner();
-        quarantine::hear(&self.app, &theirs);
-        Ok(Response::new(quarantine::findings(&self.app, &theirs.from)))
+        quarantine::merge_evidence(&self.app, &theirs);
+        Ok(Response::new(quarantine::unseen_evidence(
+            &self.app,
+            &theirs.from,
+        )))
     }
 
     async fn report(&self, req: Request<DemandReport>) -> Result<Response<DemandReply>, Status> {
-        orders::learn(&self.app, req.into_inner());
+        orders::record_demand(&self.app, req.into_inner());
         Ok(Response::new(DemandReply {}))
     }
 }
@@ -70,18 +73,18 @@
     tokio::spawn(async move {
         let mut tick = tokio::time::interval(period);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut in_touch = true;
+        let mut reachable = true;
         loop {
             tick.tick().await;
-            let polled = follow(&app).await;
-            if polled != in_touch {
-                in_touch = polled;
-                let how = if polled {
+            let polled = poll_table(&app).await;
+            if polled != reachable {
+                reachable = polled;
+                let status = if polled {
                     "answers again"
                 } else {
                     "does not answer; asking peers"
                 };
-                log::warn!(target: "follow", "the table service {how}");
+                log::warn!(target: "follow", "the table service {status}");
             }
             if !polled {
                 ask_peers(&app).await;
@@ -91,33 +94,33 @@
 }
 
 /// Polls the table once; false if it did not answer.
-async fn follow(app: &App) -> bool {
+async fn poll_table(app: &App) -> bool {
     let follower = &app.inner.follower;
-    let moved = match tokio::time::timeout(POLL_TIMEOUT, follower.moved()).await {
-        Ok(Ok(moved)) => moved,
+    let change = match tokio::time::timeout(POLL_TIMEOUT, follower.moved()).await {
+        Ok(Ok(change)) => change,
         Ok(Err(_)) | Err(_) => return false,
     };
-    let fresh = match moved {
+    let updated = match change {
         None => false,
-        Some(moved) => {
-            let caught_up = follower.catch_up(moved);
-            match tokio::time::timeout(ARRIVAL_TIMEOUT, caught_up).await {
-                Ok(Ok(fresh)) => fresh,
+        Some(change) => {
+            let caught_up = follower.catch_up(change);
+            match tokio::time::timeout(TRANSFER_TIMEOUT, caught_up).await {
+                Ok(Ok(updated)) => updated,
                 Ok(Err(_)) | Err(_) => return false,
             }
         }
     };
-    app.inner.life.handle(Event::Synced);
-    if fresh {
+    app.inner.lifecycle.handle(Event::Synced);
+    if updated {
         log::info!(target: "follow", "configuration {} is in force", follower.config().version);
     }
     true
 }
 
-/// Asks a few peers for news and takes over what is newer.
+/// Asks a few peers for changes and applies what is newer.
 ///
-/// A daemon that never read the table stays out of service: its peers may
-/// be behind what this instance once had in force.
+/// A daemon that has never read the table stays out of service: its peers may
+/// be behind a configuration that was active on this instance before.
 async fn ask_peers(app: &App) {
     let follower = &app.inner.follower;
     if !follower.synced() {
@@ -126,33 +129,33 @@
     let peers: Vec<_> = {
         let mut rng = rand::rng();
         let all = app.inner.peers.values().cloned();
-        all.choose_multiple(&mut rng, PEERS_ASKED)
+        all.choose_multiple(&mut rng, MAX_PEERS)
     };
-    let ask = SyncRequest {
+    let request = SyncRequest {
         epoch: follower.epoch(),
     };
-    let asked = peers.into_iter().map(async |mut peer| {
-        let answer = tokio::time::timeout(ARRIVAL_TIMEOUT, peer.sync(ask)).await;
+    let calls = peers.into_iter().map(async |mut peer| {
+        let answer = tokio::time::timeout(TRANSFER_TIMEOUT, peer.sync(request)).await;
         answer.ok()?.ok()
     });
-    let mut answers: FuturesUnordered<_> = asked.collect();
-    let mut patience = ARRIVAL_TIMEOUT;
-    while let Ok(Some(answer)) = tokio::time::timeout(patience, answers.next()).await {
-        if let Some(news) = answer {
-            take_over(app, ask, &news.into_inner());
-            // One that is mute must not hold the next poll up.
-            patience = POLL_TIMEOUT;
+    let mut answers: FuturesUnordered<_> = calls.collect();
+    let mut wait = TRANSFER_TIMEOUT;
+    while let Ok(Some(answer)) = tokio::time::timeout(wait, answers.next()).await {
+        if let Some(reply) = answer {
+            apply_reply(app, request, &reply.into_inner());
+            // A peer that does not answer must not delay the next poll.
+            wait = POLL_TIMEOUT;
         }
     }
 }
 
-/// Takes over what is newer in a peer's news.
-fn take_over(app: &App, ask: SyncRequest, news: &SyncReply) {
+/// Applies what is newer in a peer's reply.
+fn apply_reply(app: &App, request: SyncRequest, reply: &SyncReply) {
     let follower = &app.inner.follower;
     app.inner
         .counters
-        .control(ask.encoded_len(), news.encoded_len());
-    match follower.learn(news) {
+        .count_control(request.encoded_len(), reply.encoded_len());
+    match follower.learn(reply) {
         Ok(true) => {
             let version = follower.config().version;
             log::info!(target: "follow", "configuration {version} is in force, from a peer");
--- a/crates/comfreyhall-daemon/src/quarantine.rs
+++ b/crates/comfreyhall-daemon/src/quarantine.rs
@@ -1,11 +1,12 @@
-//! Holding back requests that end the engines that run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! What goes wrong without it: a request crashes its engine, is started again at
-//! the next one, and again through other daemons; engine after engine ends with
-//! all that runs there. `comfreyhall-quarantine` decides; here a run that broke
-//! off is looked at (has its engine or service ended, or only an answer been
-//! lost?), and daemons swap what they found: at once with all, and now and then
-//! with one of them, which reaches those that were cut off or have just started.
+//! Without it, a request that crashes its engine is restarted on the next
+//! engine, also through other daemons, and each engine ends with all of its
+//! runs. `comfreyhall-quarantine` makes the decisions. This module checks why a
+//! run broke off (the engine or service has ended, or only an answer was lost)
+//! and exchanges the evidence with other daemons: immediately with all of them,
+//! and periodically with a random one, which reaches daemons that were
+//! disconnected or have just started.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -21,59 +22,59 @@
 
 use crate::{app::App, error::RouteError};
 
-/// Pauses before each look at a target whose run broke off.
-const LOOKS: [Duration; 4] = [
+/// Delay before each probe of a target whose run broke off.
+const PROBE_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(50),
     Duration::from_millis(200),
     Duration::from_millis(500),
 ];
 
-/// Longest one look may take.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest one swap may take.
-const SWAP_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of one exchange of evidence.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a trial keeps others from being made here: longer than an engine
-/// takes to end.
-const TRIAL: Duration = Duration::from_secs(10);
+/// Minimum time between two trials of a request by this daemon: longer than an
+/// engine takes to end.
+const TRIAL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long after its first token a run counts as having just begun.
-pub(crate) const EARLY: Duration = Duration::from_millis(300);
+/// A run that breaks off within this time of its first token counts as early.
+pub(crate) const EARLY_WINDOW: Duration = Duration::from_millis(300);
 
-/// A target whose run broke off.
+/// A target whose run broke off and that may have ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Suspect {
-    /// The engine with this index, in this boot.
+pub(crate) enum SuspectTarget {
+    /// The engine with this index, in this boot (one start of its process).
     Engine(usize, u64),
     /// The plain service with this index.
     Service(usize),
 }
 
-/// What this daemon knows of such requests.
-pub(crate) struct Watch {
+/// This daemon's quarantine and its exchange with other daemons.
+pub(crate) struct SharedQuarantine {
     boot: u64,
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 struct State {
-    known: Quarantine,
-    /// How far this daemon and each other have heard each other.
-    links: Map<Arc<str>, Link>,
+    quarantine: Quarantine,
+    /// Exchange progress with each peer.
+    peer_syncs: Map<Arc<str>, PeerSync>,
     trials: Map<Fingerprint, Instant>,
 }
 
 #[derive(Default, Clone, Copy)]
-struct Link {
-    /// Its findings that were heard here.
-    heard: SyncPosition,
-    /// Number of the last finding of ours that it has heard.
-    told: u64,
+struct PeerSync {
+    /// Position in the peer's evidence up to which it was received here.
+    received: SyncPosition,
+    /// Serial of the last evidence of ours that the peer has acknowledged.
+    acknowledged_serial: u64,
 }
 
-impl Default for Watch {
+impl Default for SharedQuarantine {
     fn default() -> Self {
         Self {
             boot: rand::rng().random(),
@@ -82,50 +83,61 @@
     }
 }
 
-impl Watch {
+impl SharedQuarantine {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no holder of this lock panics")
     }
 }
 
-/// Whether `fingerprint` may be sent now; `sent`: a send of this attempt may have run.
-pub(crate) fn admit(app: &App, fingerprint: &Fingerprint, sent: bool) -> Result<(), RouteError> {
+/// Checks that `fingerprint` may be sent now. `may_have_run`: an earlier send
+/// of this attempt may have run.
+pub(crate) fn admit(
+    app: &App,
+    fingerprint: &Fingerprint,
+    may_have_run: bool,
+) -> Result<(), RouteError> {
     let rank = rank(app, fingerprint);
     let mut state = app.inner.quarantine.state();
-    let retry_ms = match state.known.status(fingerprint, rank, app.now_ms()) {
+    let retry_ms = match state.quarantine.status(fingerprint, rank, app.now_ms()) {
         Status::Allowed => return Ok(()),
         Status::Quarantined { retry_ms } => retry_ms,
         Status::Trial => {
             let last = state.trials.get(fingerprint);
-            if last.is_none_or(|at| at.elapsed() > TRIAL) {
+            if last.is_none_or(|at| at.elapsed() > TRIAL_INTERVAL) {
                 state.trials.insert(*fingerprint, Instant::now());
                 return Ok(());
             }
-            TRIAL.as_millis() as u64
+            TRIAL_INTERVAL.as_millis() as u64
         }
     };
-    match sent {
-        true => Err(RouteError::QuarantinedInDoubt),
+    match may_have_run {
+        true => Err(RouteError::QuarantinedUnknown),
         false => Err(RouteError::Quarantined(retry_ms)),
     }
 }
 
-/// Where this instance stands among all in trying `fingerprint` again.
+/// Rank of this instance among all in retrying `fingerprint`.
 fn rank(app: &App, fingerprint: &Fingerprint) -> usize {
-    let place = |id: &str| Fingerprint::of([fingerprint.as_bytes(), id.as_bytes()]);
-    let own = place(&app.instance.id);
+    let order_of = |id: &str| Fingerprint::of([fingerprint.as_bytes(), id.as_bytes()]);
+    let own = order_of(&app.instance.id);
     let others = app.inner.peers.keys();
-    others.filter(|id| place(id) < own).count()
+    others.filter(|id| order_of(id) < own).count()
 }
 
-/// A run of `fingerprint` broke off at a target; `early`: it had just begun.
-pub(crate) fn broke(app: &App, at: Suspect, fingerprint: Fingerprint, early: bool) {
+/// Records that a run of `fingerprint` broke off at a target, once the target
+/// is confirmed to have ended. `early`: the run had just begun.
+pub(crate) fn record_broken_run(
+    app: &App,
+    target: SuspectTarget,
+    fingerprint: Fingerprint,
+    early: bool,
+) {
     let app = app.clone();
     tokio::spawn(async move {
-        let Some(target) = ended(&app, at).await else {
+        let Some(target) = confirm_end(&app, target).await else {
             return;
         };
-        found(
+        record_and_publish(
             &app,
             fingerprint,
             Observation::TargetEnded { target, early },
@@ -133,30 +145,37 @@
     });
 }
 
-/// A target ran `fingerprint` to its end.
-pub(crate) fn ran_whole(app: &App, fingerprint: Fingerprint) {
-    if app.inner.quarantine.state().known.is_suspect(&fingerprint) {
-        found(app, fingerprint, Observation::Completed);
+/// Records that a target completed a run of `fingerprint`.
+pub(crate) fn record_completed(app: &App, fingerprint: Fingerprint) {
+    if app
+        .inner
+        .quarantine
+        .state()
+        .quarantine
+        .is_suspect(&fingerprint)
+    {
+        record_and_publish(app, fingerprint, Observation::Completed);
     }
 }
 
-/// The name of the boot that has ended, if it has.
-async fn ended(app: &App, at: Suspect) -> Option<Arc<str>> {
-    for pause in LOOKS {
-        tokio::time::sleep(pause).await;
-        let (ended, name) = match at {
-            Suspect::Engine(index, boot) => {
+/// The name of the boot that has ended, if one has.
+async fn confirm_end(app: &App, target: SuspectTarget) -> Option<Arc<str>> {
+    for delay in PROBE_DELAYS {
+        tokio::time::sleep(delay).await;
+        let (has_ended, name) = match target {
+            SuspectTarget::Engine(index, boot) => {
                 let id = &app.inner.settings.engines[index].id;
                 (engine_ended(app, index, boot).await, format!("{id}#{boot}"))
             }
-            // A service does not say which boot it is: it counts once.
-            Suspect::Service(index) => {
+            // Services do not report their boot, so all ends of a service count
+            // as one.
+            SuspectTarget::Service(index) => {
                 let service = &app.inner.settings.services[index];
                 let id = service.id.to_string();
                 (service_ended(&service.listen).await, id)
             }
         };
-        match ended {
+        match has_ended {
             Some(true) => return Some(name.into()),
             Some(false) => return None,
             None => {}
@@ -165,73 +184,76 @@
     None
 }
 
-/// Whether the boot of an engine has ended; `None` if nobody answers.
+/// Whether the boot of an engine has ended; `None` if there is no reply.
 async fn engine_ended(app: &App, index: usize, boot: u64) -> Option<bool> {
-    let mut client = app.inner.clients[index].clone();
+    let mut client = app.inner.engine_clients[index].clone();
     let call = client.status(StatusQuery {});
-    match tokio::time::timeout(LOOK_TIMEOUT, call).await {
+    match tokio::time::timeout(PROBE_TIMEOUT, call).await {
         Ok(Ok(status)) => Some(status.get_ref().epoch != boot),
         Ok(Err(s)) if proves_not_run(&s) => Some(true),
         Ok(Err(_)) | Err(_) => None,
     }
 }
 
-/// Whether nobody listens at `addr` any more; `None` if nobody answers.
+/// Whether nothing listens at `addr` any more; `None` if there is no reply.
 async fn service_ended(addr: &str) -> Option<bool> {
-    match tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(addr)).await {
+    match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Ok(_)) => Some(false),
         Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => Some(true),
         Ok(Err(_)) | Err(_) => None,
     }
 }
 
-/// Takes in a finding of this daemon and tells all others.
-fn found(app: &App, fingerprint: Fingerprint, finding: Observation) {
+/// Records an observation of this daemon and sends it to all others.
+fn record_and_publish(app: &App, fingerprint: Fingerprint, observation: Observation) {
     let evidence = Evidence {
         fingerprint,
-        observation: finding,
+        observation,
         at_ms: app.now_ms(),
         observer: app.instance.id.clone(),
     };
-    if learn(app, evidence) {
+    if record(app, evidence) {
         for peer in app.inner.peers.keys() {
-            tokio::spawn(swap(app.clone(), peer.clone()));
+            tokio::spawn(exchange(app.clone(), peer.clone()));
         }
     }
 }
 
-/// Takes in a finding, whoever made it; whether it is new.
-fn learn(app: &App, evidence: Evidence) -> bool {
+/// Records evidence from any daemon; returns whether it is new.
+fn record(app: &App, evidence: Evidence) -> bool {
     let now = app.now_ms();
     let mut state = app.inner.quarantine.state();
-    let before = state.known.serial();
-    let changes = state.known.record(evidence, now);
+    let serial_before = state.quarantine.serial();
+    let changes = state.quarantine.record(evidence, now);
     for change in &changes {
-        note(app, &state.known, *change, now);
+        report_change(app, &state.quarantine, *change, now);
     }
-    state.known.serial() > before
+    state.quarantine.serial() > serial_before
 }
 
-fn note(app: &App, known: &Quarantine, change: Change, now: u64) {
+fn report_change(app: &App, quarantine: &Quarantine, change: Change, now: u64) {
     let (fingerprint, what) = match change {
         Change::Suspected(fingerprint) => (fingerprint, "is suspect"),
         Change::Quarantined(fingerprint) => (fingerprint, "is held back"),
-        Change::Released(fingerprint) => (fingerprint, "is let go"),
+        Change::Released(fingerprint) => (fingerprint, "is released"),
     };
-    let ends = known.target_ends(&fingerprint).iter().map(|e| {
-        let age = now.saturating_sub(e.at_ms);
-        format!("{} ended {age} ms ago, told by {}", e.target, e.observer)
+    let target_ends = quarantine.target_ends(&fingerprint).iter().map(|end| {
+        let age = now.saturating_sub(end.at_ms);
+        format!(
+            "{} ended {age} ms ago, reported by {}",
+            end.target, end.observer
+        )
     });
-    let ends: Vec<String> = ends.collect();
-    app.inner.metrics.quarantine(match change {
+    let target_ends: Vec<String> = target_ends.collect();
+    app.inner.metrics.count_quarantine(match change {
         Change::Suspected(_) => "suspect",
         Change::Quarantined(_) => "held_back",
         Change::Released(_) => "let_go",
     });
-    log::warn!(target: "quarantine", "request {fingerprint} {what}: {}", ends.join("; "));
+    log::warn!(target: "quarantine", "request {fingerprint} {what}: {}", target_ends.join("; "));
 }
 
-/// Starts swapping with one other daemon now and then.
+/// Starts the periodic exchange of evidence with one random peer.
 pub(crate) fn spawn(app: &App) {
     let app = app.clone();
     let period = Duration::from_millis(app.inner.settings.tuning.heartbeat_ms);
@@ -241,72 +263,72 @@
         loop {
             tick.tick().await;
             let now = app.now_ms();
-            let changes = app.inner.quarantine.state().known.expire(now);
+            let changes = app.inner.quarantine.state().quarantine.expire(now);
             for change in changes {
-                note(&app, &app.inner.quarantine.state().known, change, now);
+                report_change(&app, &app.inner.quarantine.state().quarantine, change, now);
             }
             let peer = app.inner.peers.keys().choose(&mut rand::rng()).cloned();
             if let Some(peer) = peer {
-                swap(app.clone(), peer).await;
+                exchange(app.clone(), peer).await;
             }
         }
     });
 }
 
-/// Swaps findings with one other daemon.
-async fn swap(app: App, peer: Arc<str>) {
+/// Exchanges evidence with one other daemon.
+async fn exchange(app: App, peer: Arc<str>) {
     let Some(mut client) = app.inner.peers.get(&peer).cloned() else {
         return;
     };
-    let ours = findings(&app, &peer);
-    match tokio::time::timeout(SWAP_TIMEOUT, client.swap(ours)).await {
-        Ok(Ok(theirs)) => hear(&app, &theirs.into_inner()),
+    let ours = unseen_evidence(&app, &peer);
+    match tokio::time::timeout(EXCHANGE_TIMEOUT, client.swap(ours)).await {
+        Ok(Ok(theirs)) => merge_evidence(&app, &theirs.into_inner()),
         Ok(Err(s)) => {
-            log::debug!(target: "quarantine", "findings not swapped with {peer}: {}; they are told again", s.message());
+            log::debug!(target: "quarantine", "evidence not exchanged with {peer}: {}; it is sent again", s.message());
         }
         Err(_) => {
-            log::debug!(target: "quarantine", "{peer} is silent; findings are told again");
+            log::debug!(target: "quarantine", "{peer} does not answer; evidence is sent again");
         }
     }
 }
 
-/// What the daemon `peer` may not have heard.
-pub(crate) fn findings(app: &App, peer: &str) -> Findings {
+/// Evidence that the daemon `peer` may not have received.
+pub(crate) fn unseen_evidence(app: &App, peer: &str) -> Findings {
     let now = app.now_ms();
     let state = app.inner.quarantine.state();
-    let link = state.links.get(peer).copied().unwrap_or_default();
-    let (told, last) = state.known.evidence_since(link.told);
+    let sync = state.peer_syncs.get(peer).copied().unwrap_or_default();
+    let (unseen, last) = state.quarantine.evidence_since(sync.acknowledged_serial);
     Findings {
         from: app.instance.id.to_string(),
         boot: app.inner.quarantine.boot,
-        evidence: told.iter().map(|e| e.to_wire(now)).collect(),
+        evidence: unseen.iter().map(|e| e.to_wire(now)).collect(),
         told_serial: last,
-        heard_boot: link.heard.boot,
-        heard_serial: link.heard.serial,
+        heard_boot: sync.received.boot,
+        heard_serial: sync.received.serial,
     }
 }
 
-/// Takes in what another daemon has told.
-pub(crate) fn hear(app: &App, theirs: &Findings) {
+/// Merges evidence received from another daemon.
+pub(crate) fn merge_evidence(app: &App, theirs: &Findings) {
     let now = app.now_ms();
-    for told in &theirs.evidence {
-        match Evidence::from_wire(told, now) {
+    for item in &theirs.evidence {
+        match Evidence::from_wire(item, now) {
             Some(evidence) => {
-                learn(app, evidence);
+                record(app, evidence);
             }
             None => {
-                log::warn!(target: "quarantine", "a finding of {} names no request; upgrade that daemon", told.witness);
+                log::warn!(target: "quarantine", "evidence from {} names no request; upgrade that daemon", item.witness);
             }
         }
     }
-    let heard_us = theirs.heard_boot == app.inner.quarantine.boot;
-    let link = Link {
-        heard: SyncPosition {
+    let same_boot = theirs.heard_boot == app.inner.quarantine.boot;
+    let sync = PeerSync {
+        received: SyncPosition {
             boot: theirs.boot,
             serial: theirs.told_serial,
         },
-        told: if heard_us { theirs.heard_serial } else { 0 },
+        acknowledged_serial: if same_boot { theirs.heard_serial } else { 0 },
     };
     let mut state = app.inner.quarantine.state();
-    state.links.insert(theirs.from.as_str().into(), link);
+    state.peer_syncs.insert(theirs.from.as_str().into(), sync);
 }
--- a/crates/comfreyhall-daemon/src/relay.rs
+++ b/crates/comfreyhall-daemon/src/relay.rs
@@ -1,11 +1,12 @@
-//! Relays an engine's tokens to a caller, and mends the stream on the way.
+//! Relays an engine's tokens to a caller and resumes the stream after a
+//! failure.
 //!
-//! What can go wrong: the engine crashes, its connection resets or goes
-//! silent, its tokens come doubled or with a gap, or they belong to another
-//! request. The relay checks every chunk against the request before it
-//! passes it on, and never passes on what does not fit. A request that may
-//! be repeated then goes on at another engine from the first token the
-//! caller does not have; one that may not ends with its outcome unknown.
+//! Failure cases: the engine crashes, its connection resets or falls silent,
+//! its tokens are duplicated or have a gap, or they belong to another request.
+//! The relay checks every chunk against the request and forwards only chunks
+//! that match. A request that may be repeated is then resumed on another engine
+//! from the first token that the caller does not have; one that may not ends
+//! with an unknown outcome.
 
 use std::time::{Duration, Instant};
 
@@ -14,86 +15,86 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    app::{App, Cancellable, Tracked},
+    app::{App, CancelGuard, InFlightGuard},
     error::RouteError,
-    quarantine::{self, Suspect},
-    route::{self, Job, Started},
+    quarantine::{self, SuspectTarget},
+    route::{self, RoutedRequest, StartedRun},
 };
 
-/// Times one answer goes on at another engine.
-const RESUMES: u32 = 8;
+/// Times one answer may be resumed on another engine.
+const MAX_RESUMES: u32 = 8;
 
-/// Pause before trying again to go on with a broken answer.
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before another attempt to resume an answer.
+const RESUME_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a chunk from an engine means for the answer.
+/// Result of checking an engine's chunk against the answer so far.
 #[derive(Debug, PartialEq, Eq)]
-enum Fit {
+enum ChunkCheck {
     /// The next token of this answer.
     Next,
-    /// A token the caller has already.
-    Doubled,
-    /// Not a token of this answer, or one too far ahead.
-    Foreign,
+    /// A token that the caller already has.
+    Duplicate,
+    /// Not a token of this answer, or one that leaves a gap.
+    Mismatch,
 }
 
-/// One answer on its way to a caller.
+/// An answer that is being streamed to a caller.
 pub(crate) struct Relay {
     app: App,
-    job: Job,
-    started: Started,
+    request: RoutedRequest,
+    run: StartedRun,
     resumes: u32,
     cancelled: CancellationToken,
-    ended: bool,
-    /// When the engine's first token came.
-    answered: Option<Instant>,
-    _guards: (Tracked, Cancellable),
+    finished: bool,
+    /// When the first token of the current run arrived.
+    first_token_at: Option<Instant>,
+    _guards: (InFlightGuard, CancelGuard),
 }
 
-fn fit(job: &Job, c: &GenerateChunk) -> Fit {
-    let order = &job.order;
-    let ours = c.request_id == order.request_id
-        && c.adapter == order.adapter
-        && c.version == order.version;
-    if !ours || c.index > order.resume_from {
-        Fit::Foreign
-    } else if c.index < order.resume_from {
-        Fit::Doubled
+fn check_chunk(request: &RoutedRequest, chunk: &GenerateChunk) -> ChunkCheck {
+    let command = &request.command;
+    let same_answer = chunk.request_id == command.request_id
+        && chunk.adapter == command.adapter
+        && chunk.version == command.version;
+    if !same_answer || chunk.index > command.resume_from {
+        ChunkCheck::Mismatch
+    } else if chunk.index < command.resume_from {
+        ChunkCheck::Duplicate
     } else {
-        Fit::Next
+        ChunkCheck::Next
     }
 }
 
 impl Relay {
     pub(crate) fn new(
         app: &App,
-        job: Job,
-        started: Started,
+        request: RoutedRequest,
+        run: StartedRun,
         cancelled: CancellationToken,
-        guards: (Tracked, Cancellable),
+        guards: (InFlightGuard, CancelGuard),
     ) -> Self {
         Self {
             app: app.clone(),
-            job,
-            started,
+            request,
+            run,
             resumes: 0,
             cancelled,
-            ended: false,
-            answered: None,
+            finished: false,
+            first_token_at: None,
             _guards: guards,
         }
     }
 
-    /// The answer's chunks, each exactly once and in order; an error ends
-    /// it, and only a chunk with `done` ends it whole.
+    /// The answer's chunks, each exactly once and in order. An error ends the
+    /// stream early; only a chunk with `done` completes the answer.
     pub(crate) fn chunks(self) -> impl Stream<Item = Result<GenerateChunk, RouteError>> + Send {
         futures::stream::unfold(self, |mut relay| async move {
-            if relay.ended {
+            if relay.finished {
                 return None;
             }
             let item = relay.next().await;
-            relay.ended = match &item {
-                Ok(c) => c.done,
+            relay.finished = match &item {
+                Ok(chunk) => chunk.done,
                 Err(_) => true,
             };
             Some((item, relay))
@@ -102,76 +103,78 @@
 
     async fn next(&mut self) -> Result<GenerateChunk, RouteError> {
         loop {
-            let until = tokio::time::Instant::from_std(self.job.until);
+            let deadline = tokio::time::Instant::from_std(self.request.deadline);
             let item = tokio::select! {
-                item = self.started.stream.next() => item,
-                () = self.cancelled.cancelled() => return self.give_up(RouteError::Cancelled),
-                () = tokio::time::sleep_until(until) => return self.give_up(RouteError::Deadline),
+                item = self.run.stream.next() => item,
+                () = self.cancelled.cancelled() => return self.abort(RouteError::Cancelled),
+                () = tokio::time::sleep_until(deadline) => return self.abort(RouteError::DeadlineExceeded),
             };
-            let why = match item {
-                Some(Ok(c)) => match fit(&self.job, &c) {
-                    Fit::Next => {
-                        self.job.order.resume_from += 1;
-                        self.answered.get_or_insert_with(Instant::now);
-                        if c.done {
-                            quarantine::ran_whole(&self.app, self.job.fingerprint);
+            let reason = match item {
+                Some(Ok(chunk)) => match check_chunk(&self.request, &chunk) {
+                    ChunkCheck::Next => {
+                        self.request.command.resume_from += 1;
+                        self.first_token_at.get_or_insert_with(Instant::now);
+                        if chunk.done {
+                            quarantine::record_completed(&self.app, self.request.fingerprint);
                         }
-                        self.app.inner.metrics.token();
-                        return Ok(c);
+                        self.app.inner.metrics.count_token();
+                        return Ok(chunk);
                     }
-                    Fit::Doubled => continue,
-                    Fit::Foreign => "a chunk of another answer".to_string(),
+                    ChunkCheck::Duplicate => continue,
+                    ChunkCheck::Mismatch => "a chunk of another answer".to_string(),
                 },
-                Some(Err(s)) => s.message().to_string(),
+                Some(Err(status)) => status.message().to_string(),
                 None => "the stream ended early".to_string(),
             };
-            self.resume(why).await?;
+            self.resume(reason).await?;
         }
     }
 
-    /// Ends the answer here and tells the engine so.
-    fn give_up(&self, why: RouteError) -> Result<GenerateChunk, RouteError> {
-        route::cancel(&self.app, self.started.engine, &self.job.order.request_id);
-        Err(why)
+    /// Ends the answer with `reason` and cancels the run at the engine.
+    fn abort(&self, reason: RouteError) -> Result<GenerateChunk, RouteError> {
+        route::cancel(&self.app, self.run.engine, &self.request.command.request_id);
+        Err(reason)
     }
 
-    /// Goes on at an engine after the stream broke off because of `why`.
-    async fn resume(&mut self, why: String) -> Result<(), RouteError> {
-        let id = &self.job.order.request_id;
-        let at = Suspect::Engine(self.started.engine, self.started.boot);
-        let answered = self.answered.take();
-        let early = answered.is_none_or(|at| at.elapsed() < quarantine::EARLY);
-        quarantine::broke(&self.app, at, self.job.fingerprint, early);
-        log::warn!(target: "relay", "{id} broke off at token {}: {why}", self.job.order.resume_from);
-        if !self.job.repeatable || self.resumes >= RESUMES {
-            return Err(RouteError::InDoubt(why));
+    /// Resumes the answer on an engine after the stream broke off because of
+    /// `reason`.
+    async fn resume(&mut self, reason: String) -> Result<(), RouteError> {
+        let id = &self.request.command.request_id;
+        let at = SuspectTarget::Engine(self.run.engine, self.run.boot);
+        let first_token_at = self.first_token_at.take();
+        let early = first_token_at.is_none_or(|at| at.elapsed() < quarantine::EARLY_WINDOW);
+        quarantine::record_broken_run(&self.app, at, self.request.fingerprint, early);
+        log::warn!(target: "relay", "{id} broke off at token {}: {reason}", self.request.command.resume_from);
+        if !self.request.repeatable || self.resumes >= MAX_RESUMES {
+            return Err(RouteError::OutcomeUnknown(reason));
         }
-        if Instant::now() >= self.job.until {
-            return Err(RouteError::Deadline);
+        if Instant::now() >= self.request.deadline {
+            return Err(RouteError::DeadlineExceeded);
         }
         self.resumes += 1;
-        self.app.inner.metrics.resume();
-        // The run before this one may still hold its slot.
-        route::cancel(&self.app, self.started.engine, id);
-        self.started = self.restart().await?;
+        self.app.inner.metrics.count_resume();
+        // The previous run may still hold its slot.
+        route::cancel(&self.app, self.run.engine, id);
+        self.run = self.restart().await?;
         Ok(())
     }
 
-    /// Starts the rest of the answer, trying until the caller's time is up.
+    /// Starts the rest of the answer, retrying until the caller's deadline.
     ///
-    /// A fresh request is refused at once when no engine can take it, since
-    /// the caller can come back. This caller holds half an answer: refusing
-    /// it would cut that off, and engines that vanished together (a silent
+    /// A new request is rejected at once if no engine can take it, since the
+    /// caller can retry. Here the caller already has part of the answer, which
+    /// a rejection would cut off, and engines that vanished together (a silent
     /// link, a restart) are often back within a second.
-    async fn restart(&self) -> Result<Started, RouteError> {
+    async fn restart(&self) -> Result<StartedRun, RouteError> {
         loop {
-            match route::start(&self.app, &self.job).await {
-                Ok(started) => return Ok(started),
-                // The answer began, so "not run" would be wrong from here on.
-                Err(RouteError::Late) => return Err(RouteError::Deadline),
-                // Its runs have ended engines: it is not tried any more.
-                Err(RouteError::Quarantined(_)) => return Err(RouteError::QuarantinedInDoubt),
-                Err(e) if e.not_run() => tokio::time::sleep(RESUME_PAUSE).await,
+            match route::start(&self.app, &self.request).await {
+                Ok(run) => return Ok(run),
+                // Part of the answer was sent, so "not run" would be wrong from
+                // here on.
+                Err(RouteError::Expired) => return Err(RouteError::DeadlineExceeded),
+                // Its runs have ended engines: it is not retried.
+                Err(RouteError::Quarantined(_)) => return Err(RouteError::QuarantinedUnknown),
+                Err(e) if e.not_run() => tokio::time::sleep(RESUME_RETRY_DELAY).await,
                 Err(e) => return Err(e),
             }
         }
--- a/crates/comfreyhall-daemon/src/relay_tests.rs
+++ b/crates/comfreyhall-daemon/src/relay_tests.rs
@@ -4,17 +4,17 @@
 
 use super::*;
 
-fn job(next: u32) -> Job {
-    Job {
-        order: GenerateRequest {
+fn request(next_index: u32) -> RoutedRequest {
+    RoutedRequest {
+        command: GenerateRequest {
             request_id: "r".into(),
             adapter: "a".into(),
             version: "v1".into(),
             max_tokens: 9,
-            resume_from: next,
+            resume_from: next_index,
             ..GenerateRequest::default()
         },
-        until: Instant::now() + Duration::from_secs(1),
+        deadline: Instant::now() + Duration::from_secs(1),
         fingerprint: comfreyhall_quarantine::Fingerprint::of([]),
         repeatable: true,
     }
@@ -31,21 +31,36 @@
 }
 
 #[test]
-fn fit_next_token() {
-    assert_eq!(fit(&job(3), &chunk("r", "v1", 3)), Fit::Next);
+fn check_chunk_next() {
+    assert_eq!(
+        check_chunk(&request(3), &chunk("r", "v1", 3)),
+        ChunkCheck::Next
+    );
 }
 
 #[test]
-fn fit_doubled_token() {
-    assert_eq!(fit(&job(3), &chunk("r", "v1", 1)), Fit::Doubled);
+fn check_chunk_duplicate() {
+    assert_eq!(
+        check_chunk(&request(3), &chunk("r", "v1", 1)),
+        ChunkCheck::Duplicate
+    );
 }
 
 #[test]
-fn fit_refuses_foreign() {
-    // Symptom: a caller got tokens of another request, or of another version
-    // of its adapter, or an answer with a hole. Sequence: an engine that
-    // restarted mixes its streams up. Cause: chunks were passed on unread.
-    assert_eq!(fit(&job(3), &chunk("other", "v1", 3)), Fit::Foreign);
-    assert_eq!(fit(&job(3), &chunk("r", "v2", 3)), Fit::Foreign);
-    assert_eq!(fit(&job(3), &chunk("r", "v1", 5)), Fit::Foreign);
+fn check_chunk_mismatch() {
+    // Guards against forwarding tokens of another request, of another version
+    // of the adapter, or after a gap: an engine that restarted may mix up its
+    // streams.
+    assert_eq!(
+        check_chunk(&request(3), &chunk("other", "v1", 3)),
+        ChunkCheck::Mismatch
+    );
+    assert_eq!(
+        check_chunk(&request(3), &chunk("r", "v2", 3)),
+        ChunkCheck::Mismatch
+    );
+    assert_eq!(
+        check_chunk(&request(3), &chunk("r", "v1", 5)),
+        ChunkCheck::Mismatch
+    );
 }
--- a/crates/comfreyhall-daemon/src/resolve.rs
+++ b/crates/comfreyhall-daemon/src/resolve.rs
@@ -1,48 +1,52 @@
-//! What a request may do: its adapter and version, and the rules over them.
+//! Resolves a request's adapter and version in the catalog and applies the
+//! operators' rules.
 
 use comfreyhall_catalog::{CatalogError, Effects, Subject};
 
 use crate::{app::App, error::RouteError};
 
-/// What the catalog and the rules say of a request.
+/// What the catalog and the rules define for a request.
 #[derive(Debug)]
 pub(crate) struct Resolved {
     /// The customer that owns the adapter.
     pub(crate) customer: String,
-    /// The customer's promised longest wait for a load, in ms.
+    /// Longest load wait promised to the customer, in ms.
     pub(crate) stall_ms: u64,
     /// Priority from the rules or the customer's terms.
     pub(crate) priority: i32,
     pub(crate) effects: Effects,
 }
 
-fn down(e: CatalogError) -> RouteError {
-    RouteError::CatalogDown(e.to_string())
+fn catalog_unavailable(e: CatalogError) -> RouteError {
+    RouteError::CatalogUnavailable(e.to_string())
 }
 
-/// Checks that `adapter` has `version` and that the rules admit it.
+/// Checks that `adapter` has `version` and that the rules admit the request.
 ///
-/// A version that the cached record lacks may be new, so the record is read
-/// once more before the request is refused.
+/// A version that is missing from the cached record may be new, so the record
+/// is read again before the request is rejected.
 pub(crate) async fn resolve(
     app: &App,
     adapter: &str,
     version: &str,
 ) -> Result<Resolved, RouteError> {
     let follower = &app.inner.follower;
-    let missing = |e| match e {
+    let lookup_error = |e| match e {
         CatalogError::Missing { .. } => RouteError::UnknownAdapter(adapter.to_string()),
-        e => down(e),
+        e => catalog_unavailable(e),
     };
-    let mut record = follower.adapter(adapter).await.map_err(missing)?;
+    let mut record = follower.adapter(adapter).await.map_err(lookup_error)?;
     if !record.has_version(version) {
-        record = follower.reread(adapter).await.map_err(missing)?;
+        record = follower.reread(adapter).await.map_err(lookup_error)?;
     }
     let found = record.versions.iter().find(|v| v.name == version);
     let Some(found) = found else {
         return Err(RouteError::UnknownVersion(adapter.into(), version.into()));
     };
-    let customer = follower.customer(&record.customer).await.map_err(down)?;
+    let customer = follower
+        .customer(&record.customer)
+        .await
+        .map_err(catalog_unavailable)?;
     let effects = follower.config().effects(&Subject {
         customer: (&customer.name, &customer.labels),
         adapter: (adapter, &record.labels),
@@ -50,7 +54,7 @@
         instance: (&app.instance.id, &app.inner.labels),
     });
     if effects.admit == Some(false) {
-        return Err(RouteError::Withdrawn);
+        return Err(RouteError::NotAdmitted);
     }
     Ok(Resolved {
         customer: customer.name.clone(),
--- a/crates/comfreyhall-daemon/src/route.rs
+++ b/crates/comfreyhall-daemon/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes one request: have its adapter placed, and start it there.
+//! Routes one request: has its adapter placed on an engine and starts it there.
 
 use std::{
     sync::Arc,
@@ -12,215 +12,225 @@
 use crate::{
     app::App,
     error::RouteError,
-    orders::{self, Placed},
+    orders::{self, PlaceOutcome},
     outbound::{self, Target},
-    quarantine::{self, Suspect},
+    quarantine::{self, SuspectTarget},
 };
 
-/// Placement tries per request before it is given up.
-const TRIES: u32 = 4;
+/// Placement attempts per request before it fails.
+const MAX_TRIES: u32 = 4;
 
-/// Longest a request waits for a slot to be unpinned.
-const BUSY_LIMIT: Duration = Duration::from_millis(500);
+/// Longest time a request waits for an unpinned slot.
+const BUSY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause before looking for a free slot again.
-const BUSY_PAUSE: Duration = Duration::from_millis(25);
+/// Delay before checking for an unpinned slot again.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Longest an engine may take to accept a request.
+/// Longest time an engine may take to accept a request.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest a cancel may take; it is a courtesy to the engine.
+/// Timeout of a cancel command, which is best effort.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One request on its way to an engine.
+/// A request to run on an engine, over all of its attempts.
 #[derive(Debug, Clone)]
-pub(crate) struct Job {
-    pub(crate) order: GenerateRequest,
-    /// When the caller stops waiting.
-    pub(crate) until: Instant,
-    /// Whether it may be sent to a second engine when in doubt.
+pub(crate) struct RoutedRequest {
+    pub(crate) command: GenerateRequest,
+    /// Time at which the caller stops waiting.
+    pub(crate) deadline: Instant,
+    /// Whether it may be sent to another engine when it may have run already.
     pub(crate) repeatable: bool,
-    /// Its identity over all attempts.
+    /// Identifies the request over all attempts, for the quarantine.
     pub(crate) fingerprint: Fingerprint,
 }
 
-impl Job {
+impl RoutedRequest {
     /// `adapter@version`.
     pub(crate) fn key(&self) -> Arc<str> {
-        format!("{}@{}", self.order.adapter, self.order.version).into()
+        format!("{}@{}", self.command.adapter, self.command.version).into()
     }
 
-    fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// A request an engine has accepted.
-pub(crate) struct Started {
+/// A run that an engine has accepted.
+pub(crate) struct StartedRun {
     /// Index of the engine.
     pub(crate) engine: usize,
-    /// The boot of the engine that runs it.
+    /// The engine's boot (one start of its process) that executes the run.
     pub(crate) boot: u64,
     /// Time spent waiting for an adapter load.
-    pub(crate) stall: Duration,
+    pub(crate) load_wait: Duration,
     /// The engine's chunks.
     pub(crate) stream: Streaming<GenerateChunk>,
 }
 
-/// Why an engine did not start a request.
-enum Refusal {
-    /// The adapter is not in a slot there, and the request did not run.
+/// Why an engine did not start a run.
+enum StartError {
+    /// The adapter is not resident there, and the request did not run.
     NotResident,
     /// The request did not run there.
     NotRun(String),
-    /// The request may run there.
-    Doubt {
-        why: String,
-        /// Whether no answer came in time: an engine that ends closes its
-        /// connections.
-        silent: bool,
+    /// The request may be running there.
+    MayRun {
+        reason: String,
+        /// Whether the call timed out. An engine whose process ended closes its
+        /// connections instead, so a timeout does not suggest that it ended.
+        timed_out: bool,
     },
 }
 
-/// Places and starts `job` on an engine.
+/// Places the adapter of `request` and starts the request on an engine.
 ///
-/// What can go wrong: an engine accepts the request and its answer is lost.
-/// Trying elsewhere and failing there too must not end in "not run", and a
-/// request that may not be repeated must not be tried elsewhere at all. So
-/// every failed try is either proved not run or a doubt, and a doubt is
-/// never forgotten.
-pub(crate) async fn start(app: &App, job: &Job) -> Result<Started, RouteError> {
-    let key = job.key();
-    let mut stall = Duration::ZERO;
-    let mut doubt: Option<String> = None;
-    // Why the last engine that was chosen took nothing.
-    let mut shut: Option<RouteError> = None;
-    let end = |doubt: &Option<String>, otherwise| match doubt {
-        Some(why) => RouteError::InDoubt(why.clone()),
+/// Failure case: an engine accepts the request and its answer is lost. If the
+/// attempts elsewhere then fail too, the outcome must not be reported as "not
+/// run", and a request that may not be repeated must not be sent elsewhere at
+/// all. So every failed attempt either proves that the request did not run or
+/// is recorded in `may_run` for the rest of the call.
+pub(crate) async fn start(app: &App, request: &RoutedRequest) -> Result<StartedRun, RouteError> {
+    let key = request.key();
+    let mut load_wait = Duration::ZERO;
+    let mut may_run: Option<String> = None;
+    // Why the last chosen engine could not be called.
+    let mut unavailable: Option<RouteError> = None;
+    let fail = |may_run: &Option<String>, otherwise| match may_run {
+        Some(reason) => RouteError::OutcomeUnknown(reason.clone()),
         None => otherwise,
     };
-    for _ in 0..TRIES {
-        if job.left().is_zero() {
-            return Err(end(&doubt, RouteError::Late));
+    for _ in 0..MAX_TRIES {
+        if request.remaining().is_zero() {
+            return Err(fail(&may_run, RouteError::Expired));
         }
-        let began = Instant::now();
-        let engine = match place(app, job, &key).await {
-            Placed::Resident(engine) => engine,
-            Placed::Loaded(engine) => {
-                stall += began.elapsed();
+        let started_at = Instant::now();
+        let engine = match place(app, request, &key).await {
+            PlaceOutcome::Resident(engine) => engine,
+            PlaceOutcome::Loaded(engine) => {
+                load_wait += started_at.elapsed();
                 engine
             }
-            Placed::Failed => {
-                stall += began.elapsed();
+            PlaceOutcome::Failed => {
+                load_wait += started_at.elapsed();
                 continue;
             }
-            Placed::Busy => {
-                let why = all_shut(app).unwrap_or(RouteError::Busy);
-                return Err(end(&doubt, why));
+            PlaceOutcome::Busy => {
+                let reason = all_unavailable(app).unwrap_or(RouteError::Busy);
+                return Err(fail(&may_run, reason));
             }
         };
-        if job.left().is_zero() {
-            return Err(end(&doubt, RouteError::Late));
+        if request.remaining().is_zero() {
+            return Err(fail(&may_run, RouteError::Expired));
         }
-        quarantine::admit(app, &job.fingerprint, doubt.is_some())?;
-        if let Err(why) = outbound::admit(app, Target::Engine(engine)) {
-            shut = Some(why);
+        quarantine::admit(app, &request.fingerprint, may_run.is_some())?;
+        if let Err(reason) = outbound::admit(app, Target::Engine(engine)) {
+            unavailable = Some(reason);
             continue;
         }
         let boot = app.boot(engine);
-        match accept(app, engine, job).await {
+        match send(app, engine, request).await {
             Ok(stream) => {
-                return Ok(Started {
+                return Ok(StartedRun {
                     engine,
                     boot,
-                    stall,
+                    load_wait,
                     stream,
                 });
             }
-            // The adapter left the slot between view and order (another
-            // daemon evicted it): forget it there and place again.
-            Err(Refusal::NotResident) => orders::forget(app, engine, &key),
-            Err(Refusal::NotRun(why)) => {
-                log::warn!(target: "route", "engine {engine} did not run {}: {why}", job.order.request_id);
+            // The adapter left the slot between the status report and this
+            // command (another daemon evicted it): remove it from the view and
+            // place it again.
+            Err(StartError::NotResident) => orders::remove_from_view(app, engine, &key),
+            Err(StartError::NotRun(reason)) => {
+                log::warn!(target: "route", "engine {engine} did not run {}: {reason}", request.command.request_id);
                 app.view()[engine].up = false;
             }
-            Err(Refusal::Doubt { why, silent }) => {
-                if !silent {
-                    let at = Suspect::Engine(engine, boot);
-                    quarantine::broke(app, at, job.fingerprint, true);
+            Err(StartError::MayRun { reason, timed_out }) => {
+                if !timed_out {
+                    let at = SuspectTarget::Engine(engine, boot);
+                    quarantine::record_broken_run(app, at, request.fingerprint, true);
                 }
-                log::warn!(target: "route", "engine {engine} may run {}: {why}", job.order.request_id);
+                log::warn!(target: "route", "engine {engine} may run {}: {reason}", request.command.request_id);
                 app.view()[engine].up = false;
-                cancel(app, engine, &job.order.request_id);
-                if !job.repeatable {
-                    return Err(RouteError::InDoubt(why));
+                cancel(app, engine, &request.command.request_id);
+                if !request.repeatable {
+                    return Err(RouteError::OutcomeUnknown(reason));
                 }
-                doubt = Some(why);
+                may_run = Some(reason);
             }
         }
     }
-    let why = shut.unwrap_or(RouteError::Exhausted(TRIES));
-    Err(end(&doubt, why))
+    let reason = unavailable.unwrap_or(RouteError::Exhausted(MAX_TRIES));
+    Err(fail(&may_run, reason))
 }
 
-/// That no engine takes anything now, if that is so.
-fn all_shut(app: &App) -> Option<RouteError> {
-    let engines = (0..app.inner.clients.len()).map(Target::Engine);
-    outbound::all_ms(app, engines).map(RouteError::Shut)
+/// The error to return if every engine is unavailable now.
+fn all_unavailable(app: &App) -> Option<RouteError> {
+    let engines = (0..app.inner.engine_clients.len()).map(Target::Engine);
+    outbound::all_unavailable_ms(app, engines).map(RouteError::Unavailable)
 }
 
-/// Has the adapter placed, waiting a moment for a slot to be free.
+/// Has the adapter placed, waiting briefly for an unpinned slot.
 ///
-/// The view of pins is as old as the engines' reports, so "every slot is in
-/// use" is often no longer true, and a slot in use is mostly free within one
-/// answer's time. Past that the request is refused, with when to come back.
-async fn place(app: &App, job: &Job, key: &Arc<str>) -> Placed {
-    let began = Instant::now();
+/// The pin counts in the view are as old as the engines' reports, so "every
+/// slot is in use" is often outdated, and a pinned slot is usually released
+/// within the duration of one answer. After [`BUSY_TIMEOUT`] the request is
+/// rejected with a retry delay.
+async fn place(app: &App, request: &RoutedRequest, key: &Arc<str>) -> PlaceOutcome {
+    let started_at = Instant::now();
     loop {
-        let placed = orders::place(app, key, job.left()).await;
-        let wait = began.elapsed() < BUSY_LIMIT && !job.left().is_zero();
-        if placed != Placed::Busy || !wait || all_shut(app).is_some() {
+        let placed = orders::place(app, key, request.remaining()).await;
+        let may_wait = started_at.elapsed() < BUSY_TIMEOUT && !request.remaining().is_zero();
+        if placed != PlaceOutcome::Busy || !may_wait || all_unavailable(app).is_some() {
             return placed;
         }
-        tokio::time::sleep(BUSY_PAUSE).await;
+        tokio::time::sleep(BUSY_RETRY_DELAY).await;
     }
 }
 
-/// Sends the request to `engine` once.
-async fn accept(app: &App, engine: usize, job: &Job) -> Result<Streaming<GenerateChunk>, Refusal> {
-    let mut client = app.inner.clients[engine].clone();
-    let limit = job.left().min(ACCEPT_TIMEOUT);
-    let sent = app.now_ms();
-    let answer = tokio::time::timeout(limit, client.generate(job.order.clone())).await;
-    match answer.map(|a| outbound::hear(app, Target::Engine(engine), Some(sent), a)) {
+/// Makes one attempt to start the request on `engine`.
+async fn send(
+    app: &App,
+    engine: usize,
+    request: &RoutedRequest,
+) -> Result<Streaming<GenerateChunk>, StartError> {
+    let mut client = app.inner.engine_clients[engine].clone();
+    let timeout = request.remaining().min(ACCEPT_TIMEOUT);
+    let sent_at_ms = app.now_ms();
+    let answer = tokio::time::timeout(timeout, client.generate(request.command.clone())).await;
+    match answer.map(|a| outbound::record_answer(app, Target::Engine(engine), Some(sent_at_ms), a))
+    {
         Ok(Ok(reply)) => Ok(reply.into_inner()),
-        Ok(Err(s)) => Err(refusal(&s)),
-        Err(_) => Err(Refusal::Doubt {
-            why: "no answer to the order".into(),
-            silent: true,
+        Ok(Err(s)) => Err(start_error(&s)),
+        Err(_) => Err(StartError::MayRun {
+            reason: "no answer to the order".into(),
+            timed_out: true,
         }),
     }
 }
 
-fn refusal(status: &Status) -> Refusal {
-    let why = status.message().to_string();
+fn start_error(status: &Status) -> StartError {
+    let reason = status.message().to_string();
     match (proves_not_run(status), status.code()) {
-        (true, Code::FailedPrecondition) => Refusal::NotResident,
-        (true, _) => Refusal::NotRun(why),
-        (false, _) => Refusal::Doubt { why, silent: false },
+        (true, Code::FailedPrecondition) => StartError::NotResident,
+        (true, _) => StartError::NotRun(reason),
+        (false, _) => StartError::MayRun {
+            reason,
+            timed_out: false,
+        },
     }
 }
 
-/// Tells `engine` in the background that nobody waits for `id` any more.
+/// Cancels the request `id` at `engine`, in the background.
 pub(crate) fn cancel(app: &App, engine: usize, id: &str) {
-    if outbound::closed_ms(app, Target::Engine(engine)) > 0 {
+    if outbound::unavailable_ms(app, Target::Engine(engine)) > 0 {
         return;
     }
-    let mut client = app.inner.clients[engine].clone();
-    let order = CancelOrder {
+    let mut client = app.inner.engine_clients[engine].clone();
+    let command = CancelOrder {
         request_id: id.to_string(),
     };
     tokio::spawn(async move {
-        let _ = tokio::time::timeout(CANCEL_TIMEOUT, client.cancel(order)).await;
+        let _ = tokio::time::timeout(CANCEL_TIMEOUT, client.cancel(command)).await;
     });
 }
--- a/crates/comfreyhall-daemon/src/stats.rs
+++ b/crates/comfreyhall-daemon/src/stats.rs
@@ -1,19 +1,19 @@
-//! Counters the daemon keeps about its own cost, served at `/v1/stats`.
+//! Counters of the daemon's own resource use, served at `/v1/stats`.
 //!
-//! docs/CAPACITY.md is worked out from these: processor time and resident
-//! memory read from `/proc/self`, and the control messages (status polls,
-//! every call to the table service, instance list, peers) counted by their
-//! encoded protobuf size plus the 5-byte gRPC frame header. HTTP/2 headers and TCP
-//! overhead are not counted, so control bytes are a lower bound.
+//! docs/CAPACITY.md is computed from these: processor time and resident memory
+//! read from `/proc/self`, and the control messages (status polls, all calls to
+//! the table service, instance list, peers) counted by their encoded protobuf
+//! size plus the 5-byte gRPC frame header. HTTP/2 headers and TCP overhead are
+//! not counted, so control bytes are a lower bound.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::Serialize;
 
-/// The gRPC length-prefix added to every message.
-const FRAME: u64 = 5;
+/// The gRPC length prefix of every message.
+const FRAME_BYTES: u64 = 5;
 
-/// Running totals since start.
+/// Totals since the daemon started.
 #[derive(Default)]
 pub(crate) struct Counters {
     requests: AtomicU64,
@@ -23,19 +23,19 @@
 
 impl Counters {
     /// Counts one routed request.
-    pub(crate) fn request(&self) {
+    pub(crate) fn count_request(&self) {
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts one control call with its request and reply sizes.
-    pub(crate) fn control(&self, sent: usize, received: usize) {
-        let bytes = sent as u64 + received as u64 + 2 * FRAME;
+    /// Counts one control call by the sizes of its request and reply.
+    pub(crate) fn count_control(&self, sent: usize, received: usize) {
+        let bytes = sent as u64 + received as u64 + 2 * FRAME_BYTES;
         self.control_calls.fetch_add(1, Ordering::Relaxed);
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
-/// A snapshot of the daemon's cost.
+/// A snapshot of the daemon's resource use.
 #[derive(Debug, Serialize)]
 pub(crate) struct Stats {
     pub(crate) instance: String,
@@ -46,14 +46,14 @@
     pub(crate) requests: u64,
     pub(crate) control_calls: u64,
     pub(crate) control_bytes: u64,
-    /// Calls to the table service; part of the control calls.
+    /// Calls to the table service; included in `control_calls`.
     pub(crate) table_calls: u64,
     /// Adapter records cached for resolving model names.
     pub(crate) adapters_cached: usize,
 }
 
 impl Counters {
-    /// The totals so far, with this process's own cost.
+    /// The totals so far, with the resource use of this process.
     ///
     /// `table` is the calls and bytes of the table client.
     pub(crate) fn snapshot(
