--- a/crates/comfreyhall-daemon/src/http/call.rs
+++ b/crates/comfreyhall-daemon/src/http/call.rs
@@ -96,8 +96,8 @@
     let mut candidates: Vec<usize> = (0..services.len()).collect();
     candidates.shuffle(&mut rand::rng());
     candidates.sort_by_key(|i| services[*i].domain != app.instance.domain);
-    let default_deadline = Duration::from_millis(app.inner.settings.tuning.deadline_ms);
-    let deadline = Instant::now() + default_deadline;
+    let default_timeout = Duration::from_millis(app.inner.settings.tuning.deadline_ms);
+    let deadline = Instant::now() + default_timeout;
     let fingerprint = Fingerprint::of([request.method.as_bytes(), &request.body]);
     let mut may_have_run = None;
     let mut rejections = Vec::new();
--- a/crates/comfreyhall-daemon/src/http/complete.rs
+++ b/crates/comfreyhall-daemon/src/http/complete.rs
@@ -194,8 +194,8 @@
     version: &str,
     resolved: &Resolved,
 ) -> RoutedRequest {
-    let default = app.inner.settings.tuning.deadline_ms;
-    let deadline = Duration::from_millis(request.body.deadline_ms.unwrap_or(default));
+    let default_ms = app.inner.settings.tuning.deadline_ms;
+    let timeout = Duration::from_millis(request.body.deadline_ms.unwrap_or(default_ms));
     RoutedRequest {
         command: GenerateRequest {
             request_id: request.id.clone(),
@@ -206,7 +206,7 @@
             priority: resolved.priority + request.body.priority.clamp(-9, 9),
             ..GenerateRequest::default()
         },
-        deadline: Instant::now() + deadline,
+        deadline: Instant::now() + timeout,
         repeatable: !request.body.non_idempotent,
         fingerprint: Fingerprint::of([
             resolved.customer.as_bytes(),
--- a/crates/comfreyhall-daemon/src/http/mod.rs
+++ b/crates/comfreyhall-daemon/src/http/mod.rs
@@ -162,13 +162,13 @@
 
 /// Answers a request with an error, and counts and logs it.
 fn refuse(app: &App, id: &str, error: &RouteError) -> Response {
-    let how = if error.not_run() {
+    let outcome = if error.not_run() {
         "not_run"
     } else {
         "unknown"
     };
-    log::debug!(target: "route", "{id} ends {how}: {error}");
-    app.inner.metrics.count_request(how);
+    log::debug!(target: "route", "{id} ends {outcome}: {error}");
+    app.inner.metrics.count_request(outcome);
     error.response(id)
 }
 
--- a/crates/comfreyhall-daemon/src/member.rs
+++ b/crates/comfreyhall-daemon/src/member.rs
@@ -179,7 +179,7 @@
 /// Starts the heartbeat and scan tasks.
 ///
 /// They are separate because a write that hangs must not keep this daemon from
-/// reading which members are draining.
+/// noticing that others have left.
 pub(crate) fn spawn(app: &App) {
     let period = Duration::from_millis(app.inner.settings.tuning.heartbeat_ms);
     let heartbeats = app.clone();
--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -350,7 +350,7 @@
     let answer =
         tokio::time::timeout(placement.timeout.min(load_timeout), client.load(command)).await;
     let answer = answer.map(|a| outbound::record_answer(app, target, None, a));
-    let why = match answer {
+    let reason = match answer {
         Ok(Ok(reply)) => {
             let reply = reply.into_inner();
             if reply.loaded {
@@ -366,7 +366,7 @@
         }
         Err(_) => "took longer than its request allows".to_string(),
     };
-    log::warn!(target: "orders", "load of {key} {why}");
+    log::warn!(target: "orders", "load of {key} {reason}");
     remove_from_view(app, engine, key);
     false
 }
--- a/crates/comfreyhall-life/src/lib.rs
+++ b/crates/comfreyhall-life/src/lib.rs
@@ -25,7 +25,7 @@
     Starting,
     /// Accepts requests.
     Serving,
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Leaving,
     /// Nothing is in progress.
     Stopped,
@@ -37,7 +37,7 @@
 pub enum Event {
     /// A configuration was read for the first time.
     Synced,
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
     /// The last request in progress ended.
     Drained,
