--- a/crates/comfreyhall-node/src/leases.rs
+++ b/crates/comfreyhall-node/src/leases.rs
@@ -195,8 +195,8 @@
         let mut leases: Map<Name, Arc<Lease<R>>> = Map::default();
         // The groups are known once the daemon serves.
         tokio::select! {
-            () = node.life.reached(comfreyhall_life::Stage::Serving) => {}
-            () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
+            () = node.life.wait_for_stage(comfreyhall_life::Stage::Serving) => {}
+            () = node.life.wait_for_stage(comfreyhall_life::Stage::Leaving) => {}
         }
         let former = former_leases(&node, &rows).await;
         loop {
@@ -226,7 +226,7 @@
             }
             tokio::select! {
                 () = tokio::time::sleep(term / STEPS_PER_TERM) => {}
-                () = node.life.reached(comfreyhall_life::Stage::Leaving) => {}
+                () = node.life.wait_for_stage(comfreyhall_life::Stage::Leaving) => {}
             }
         }
     });
