--- a/crates/comfreyhall/tests/settings_soak.rs
+++ b/crates/comfreyhall/tests/settings_soak.rs
@@ -13,8 +13,10 @@
 //! for: `SETTINGS_CASES=large`. By hand: `SETTINGS_SEEDS=100..150
 //! SETTINGS_DAEMONS=30 SETTINGS_KB=400 SETTINGS_SECONDS=30 cargo test --release -p
 //! comfreyhall --test settings_soak -- --nocapture`. `SETTINGS_PROGRAM` names another
-//! build of the daemon, `SETTINGS_BUSY` a number of threads that keep the machine
-//! busy.
+//! build of the daemon. With `SETTINGS_MIXED` (any non-empty value) as well, daemons
+//! with an even index start first with that build and the others with this one, and
+//! each further start of a daemon takes the other of the two. `SETTINGS_BUSY` is a
+//! number of threads that keep the machine busy.
 
 mod support;
 
--- a/crates/comfreyhall/tests/settings_soak/fleet.rs
+++ b/crates/comfreyhall/tests/settings_soak/fleet.rs
@@ -170,14 +170,14 @@
     }
 
     fn launch(&mut self, i: usize) {
+        let before = self.starts.iter().filter(|(d, _)| *d == i).count();
+        let program = program(i, before);
         let daemon = &mut self.daemons[i];
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(daemon.settings.with_extension("log"))
             .unwrap();
-        let program = std::env::var("SETTINGS_PROGRAM");
-        let program = program.unwrap_or(env!("CARGO_BIN_EXE_comfreyhalld").into());
         // Noted first: nobody may see it answer before it counts as started.
         daemon.began = Instant::now();
         self.starts.push((i, daemon.began));
@@ -389,6 +389,19 @@
     }
 }
 
+/// The program for the next start of daemon `i`, which was started `before` times:
+/// `SETTINGS_PROGRAM` or this build. With `SETTINGS_MIXED` each start of a daemon
+/// takes the other of the two, and daemons with an even index begin with
+/// `SETTINGS_PROGRAM`, so that the fleet is rolled both ways.
+fn program(i: usize, before: usize) -> String {
+    let this_build = env!("CARGO_BIN_EXE_comfreyhalld");
+    let mixed = std::env::var("SETTINGS_MIXED").is_ok_and(|m| !m.is_empty());
+    match std::env::var("SETTINGS_PROGRAM") {
+        Ok(other) if !mixed || (i + before).is_multiple_of(2) => other,
+        _ => this_build.into(),
+    }
+}
+
 impl Drop for Fleet {
     fn drop(&mut self) {
         for daemon in &mut self.daemons {
