--- a/crates/comfreyhall/tests/settings_soak.rs
+++ b/crates/comfreyhall/tests/settings_soak.rs
@@ -1,22 +1,23 @@
-//! A soak of settings: many real daemons, changes that callers can see, and an
-//! oracle that says which versions may answer.
+//! Soak test of settings propagation: many real daemons, settings changes that
+//! callers can observe, and an oracle that knows which versions may be active.
 //!
-//! A seed decides how many daemons there are, how large the settings, how fast
-//! the ways to the store, and what happens: changes singly, in series and
-//! invalid; daemons killed singly and in herds, stopped one after the other,
-//! frozen; a store that refuses, falls silent, resets or is slow for all or for
-//! some daemons. Callers ask every daemon all the while on routes that tell
-//! versions apart, and each answer is held against the versions that may be in
-//! force at its moment.
+//! A case gives the number of daemons, the size of the settings and the bandwidth
+//! of the links to the store; its seed decides what happens. Settings change one at
+//! a time, in quick succession, and to invalid ones. Daemons are killed one by one
+//! and many at once, stopped in turn and frozen. The store refuses calls, hangs,
+//! resets connections or is slow, for all daemons or for some. Callers meanwhile
+//! send requests to every daemon on routes that differ between versions, and each
+//! answer is compared with the versions that may be active at that time.
 //!
-//! CI plays [`CASES`]; those of [`LARGE`] failed once, at sizes that CI has no time
-//! for: `SETTINGS_CASES=large`. By hand: `SETTINGS_SEEDS=100..150
-//! SETTINGS_DAEMONS=30 SETTINGS_KB=400 SETTINGS_SECONDS=30 cargo test --release -p
-//! comfreyhall --test settings_soak -- --nocapture`. `SETTINGS_PROGRAM` names another
-//! build of the daemon. With `SETTINGS_MIXED` (any non-empty value) as well, daemons
-//! with an even index start first with that build and the others with this one, and
-//! each further start of a daemon takes the other of the two. `SETTINGS_BUSY` is a
-//! number of threads that keep the machine busy.
+//! CI runs [`CASES`]. [`LARGE_CASES`] are failures found at sizes that take too long
+//! for CI; run them with `SETTINGS_CASES=large`. To run other seeds:
+//! `SETTINGS_SEEDS=100..150 SETTINGS_DAEMONS=30 SETTINGS_KB=400 SETTINGS_SECONDS=30
+//! cargo test --release -p comfreyhall --test settings_soak -- --nocapture`.
+//! `SETTINGS_LINK_KB` sets the bandwidth of each link in KB/s. `SETTINGS_PROGRAM` is
+//! the path of another build of the daemon. With `SETTINGS_MIXED` (any non-empty value)
+//! as well, daemons with an even index start first with that build and the others with
+//! this one, and each further start of a daemon takes the other of the two.
+//! `SETTINGS_BUSY` is a number of threads that keep the machine busy.
 
 mod support;
 
@@ -33,8 +34,8 @@
 mod oracle_tests;
 #[path = "settings_soak/probe.rs"]
 mod probe;
-#[path = "settings_soak/trouble.rs"]
-mod trouble;
+#[path = "settings_soak/schedule.rs"]
+mod schedule;
 
 use std::{
     sync::{
@@ -47,14 +48,14 @@
 use fleet::{Fleet, Size};
 use oracle::Answer;
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use trouble::Mood;
+use schedule::Scenario;
 
-/// A run.
+/// Parameters of one run.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     seed: u64,
     size: Size,
-    /// Seconds of faults.
+    /// How long faults are injected.
     seconds: u64,
 }
 
@@ -71,17 +72,17 @@
     }
 }
 
-/// Speed of each daemon's way to the store, in KB a second: 10 Mbit/s.
+/// Bandwidth of each daemon's link to the store, in KB/s: 10 Mbit/s.
 const LINK_KB: u64 = 1_250;
 
-/// Runs of CI: a small fleet, and one large enough to report to holders of leases
-/// whose ways are slow.
+/// Cases that CI runs: a small fleet, and one that is large enough for daemons to
+/// report to lease holders, over slow links.
 const CASES: [Case; 2] = [case(2, 3, 300, LINK_KB, 12), case(42, 20, 400, 500, 14)];
 
-/// Runs that failed: by 404 of daemons cut off or just started (10, 21, 22), by
-/// answers that were never in time (41, 31), by ages that were too young and by
-/// unreadable settings (42).
-const LARGE: [Case; 6] = [
+/// Cases that have failed: 404 from daemons that were cut off or had just started
+/// (10, 21, 22), replies that never arrived in time (41, 31), ages that were
+/// reported too young, and unreadable settings (42).
+const LARGE_CASES: [Case; 6] = [
     case(10, 30, 300, LINK_KB, 20),
     case(21, 90, 400, LINK_KB, 30),
     case(22, 90, 400, LINK_KB, 30),
@@ -90,38 +91,39 @@
     case(42, 40, 500, 500, 30),
 ];
 
-/// Time after the last fault until everything has to be as it should.
-const CALM: Duration = Duration::from_secs(10);
+/// How long callers go on after the last fault, so that daemons which fail to
+/// recover are noticed.
+const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// Broken promises that are printed.
-const SHOWN: usize = 40;
+/// Number of violations that are printed.
+const MAX_PRINTED: usize = 40;
 
-fn number<T: std::str::FromStr>(name: &str, otherwise: T) -> T {
+fn env_number<T: std::str::FromStr>(name: &str, default: T) -> T {
     let text = std::env::var(name).ok();
-    text.map_or(otherwise, |t| t.parse().ok().expect("a number"))
+    text.map_or(default, |t| t.parse().ok().expect("a number"))
 }
 
 fn cases() -> Vec<Case> {
     if std::env::var("SETTINGS_CASES").is_ok_and(|c| c == "large") {
-        return LARGE.to_vec();
+        return LARGE_CASES.to_vec();
     }
     let Ok(text) = std::env::var("SETTINGS_SEEDS") else {
         return CASES.to_vec();
     };
     let (from, to) = text.split_once("..").expect("SETTINGS_SEEDS is FROM..TO");
     let seeds: std::ops::Range<u64> = from.parse().unwrap()..to.parse().unwrap();
-    let daemons = number("SETTINGS_DAEMONS", 3);
+    let daemons = env_number("SETTINGS_DAEMONS", 3);
     let (kb, link_kb) = (
-        number("SETTINGS_KB", 300),
-        number("SETTINGS_LINK_KB", LINK_KB),
+        env_number("SETTINGS_KB", 300),
+        env_number("SETTINGS_LINK_KB", LINK_KB),
     );
-    let seconds = number("SETTINGS_SECONDS", 12);
+    let seconds = env_number("SETTINGS_SECONDS", 12);
     seeds
         .map(|seed| case(seed, daemons, kb, link_kb, seconds))
         .collect()
 }
 
-/// Keeps `threads` cores busy until told to stop.
+/// Keeps `threads` cores busy until `stop` is set.
 fn keep_busy(threads: usize, stop: &Arc<AtomicBool>) {
     for _ in 0..threads {
         let stop = stop.clone();
@@ -133,66 +135,66 @@
     }
 }
 
-async fn play(case: Case) {
+async fn run_case(case: Case) {
     let Case {
         seed,
         size,
         seconds,
     } = case;
     let mut rng = StdRng::seed_from_u64(seed);
-    let mood = Mood::of(seed);
-    println!("seed {seed}: {size:?}, {mood:?}");
+    let scenario = Scenario::of(seed);
+    println!("seed {seed}: {size:?}, {scenario:?}");
     let mut fleet = Fleet::start(seed, size).await;
     let stop = Arc::new(AtomicBool::new(false));
-    keep_busy(number("SETTINGS_BUSY", 0), &stop);
-    let callers = probe::spawn(&fleet, seed, &stop);
-    let starved = tokio::spawn(probe::starved(stop.clone()));
-    let begun = Instant::now();
-    let lasts = Duration::from_secs(seconds);
-    while begun.elapsed() < lasts {
+    keep_busy(env_number("SETTINGS_BUSY", 0), &stop);
+    let callers = probe::spawn_callers(&fleet, seed, &stop);
+    let starvation = tokio::spawn(probe::record_starvation(stop.clone()));
+    let run_start = Instant::now();
+    let duration = Duration::from_secs(seconds);
+    while run_start.elapsed() < duration {
         let pause = rng.random_range(50..900);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        fleet.end_due(false).await;
-        let ms = begun.elapsed().as_millis() as u64;
-        trouble::next(&mut fleet, &mut rng, mood, ms);
+        fleet.end_faults(false).await;
+        let ms = run_start.elapsed().as_millis() as u64;
+        schedule::apply_next(&mut fleet, &mut rng, scenario, ms);
     }
-    while !fleet.calm() {
+    while !fleet.is_idle() {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        fleet.end_due(true).await;
+        fleet.end_faults(true).await;
     }
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(RECOVERY_TIME).await;
     stop.store(true, Ordering::SeqCst);
     let mut answers: Vec<Answer> = Vec::new();
     for caller in callers {
         answers.extend(caller.await.unwrap());
     }
     let mut record = fleet.record();
-    record.disturbances.extend(starved.await.unwrap());
-    let broken = oracle::judge(&record, &answers);
+    record.disturbances.extend(starvation.await.unwrap());
+    let violations = oracle::find_violations(&record, &answers);
     println!(
-        "{} answers, {} versions, {} faults, {} broken, {}",
+        "{} answers, {} versions, {} faults, {} violations, {}",
         answers.len(),
-        fleet.versions(),
-        fleet.faults(),
-        broken.len(),
+        fleet.version_count(),
+        fleet.fault_count(),
+        violations.len(),
         fleet.traffic()
     );
-    for one in broken.iter().take(SHOWN) {
-        println!("{one}");
+    for violation in violations.iter().take(MAX_PRINTED) {
+        println!("{violation}");
     }
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "seed {seed}, logs in {}: {:?}",
         fleet.dir.display(),
-        oracle::count(&broken)
+        oracle::count_by_kind(&violations)
     );
 }
 
 #[test]
-fn settings_in_force_everywhere() {
+fn run_case_every_daemon_serves_active_version() {
     for case in cases() {
         let runtime = tokio::runtime::Runtime::new().unwrap();
-        runtime.block_on(play(case));
+        runtime.block_on(run_case(case));
         runtime.shutdown_background();
     }
 }
--- a/crates/comfreyhall/tests/settings_soak/history.rs
+++ b/crates/comfreyhall/tests/settings_soak/history.rs
@@ -1,8 +1,8 @@
-//! The versions of the settings, and what each lets callers see.
+//! The versions of the settings, and the answers that each of them allows.
 //!
-//! Each version moves one route to the other service, adds a route and drops the
-//! one added three versions before. Idle routes make the settings as large as the
-//! run asks for.
+//! Each version moves one route to the other service, adds a route and removes the
+//! one that was added three versions earlier. Idle routes pad the settings to the
+//! size that the case asks for.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 
 use super::emulator;
 
-/// Versions for which an added route stays.
-const STAYS: u64 = 3;
+/// Number of versions that contain an added route.
+const ROUTE_VERSIONS: u64 = 3;
 
-/// Bytes that one idle route takes, about.
-const IDLE_BYTES: usize = 230;
+/// Approximate size of one idle route.
+const IDLE_ROUTE_BYTES: usize = 230;
 
 /// A service of plain targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,68 +32,68 @@
     }
 }
 
-/// A route that tells versions apart.
+/// A route that differs between versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
-    /// Always there, and moved by each version.
+    /// In every version; each version moves it to the other service.
     Moved,
-    /// Added by the version of this number.
+    /// Added by the version with this number.
     Added(u64),
-    /// Never there.
-    Never,
+    /// In no version.
+    Absent,
 }
 
 impl Path {
-    pub fn text(self) -> String {
+    pub fn prefix(self) -> String {
         match self {
             Path::Moved => "/m/".into(),
             Path::Added(number) => format!("/v{number}/"),
-            Path::Never => "/never/".into(),
+            Path::Absent => "/never/".into(),
         }
     }
 }
 
-/// What a caller was told.
+/// What an answer shows of the daemon's active version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
-    Ran(Service),
-    /// The final answer that there is no such route.
-    Denied,
-    /// Not run, and when to come back.
-    Refused,
-    /// Anything else: it tells nothing of versions.
-    Nothing,
+pub enum Outcome {
+    AnsweredBy(Service),
+    /// A final 404: the daemon has no such route.
+    NotFound,
+    /// The request was not run and may be retried later (429 or 503).
+    Rejected,
+    /// Any other result: it says nothing about the version.
+    Inconclusive,
 }
 
-/// Where version `number` has the moved route go.
-pub fn moved_to(number: u64) -> Service {
+/// The service that the moved route has in version `number`.
+pub fn moved_route_service(number: u64) -> Service {
     match number.is_multiple_of(2) {
         true => Service::App,
         false => Service::Alt,
     }
 }
 
-/// Whether version `number` has `path`.
-pub fn has(number: u64, path: Path) -> bool {
+/// Whether version `number` contains the route `path`.
+pub fn has_route(number: u64, path: Path) -> bool {
     match path {
         Path::Moved => true,
-        Path::Added(at) => (at..at + STAYS).contains(&number),
-        Path::Never => false,
+        Path::Added(at) => (at..at + ROUTE_VERSIONS).contains(&number),
+        Path::Absent => false,
     }
 }
 
-/// Whether a daemon that goes by version `number` may answer so.
-pub fn allows(number: u64, path: Path, seen: Seen) -> bool {
-    match seen {
-        Seen::Ran(service) => {
+/// Whether a daemon with active version `number` may give this answer.
+pub fn allows(number: u64, path: Path, outcome: Outcome) -> bool {
+    match outcome {
+        Outcome::AnsweredBy(service) => {
             let to = match path {
-                Path::Moved => moved_to(number),
-                Path::Added(_) | Path::Never => Service::App,
+                Path::Moved => moved_route_service(number),
+                Path::Added(_) | Path::Absent => Service::App,
             };
-            has(number, path) && service == to
+            has_route(number, path) && service == to
         }
-        Seen::Denied => !has(number, path),
-        Seen::Refused | Seen::Nothing => true,
+        Outcome::NotFound => !has_route(number, path),
+        Outcome::Rejected | Outcome::Inconclusive => true,
     }
 }
 
@@ -101,25 +101,29 @@
     emulator::safe_route(name, prefix, service.name())
 }
 
-/// The first version that has all idle routes; those before have a few.
-const GROWN: u64 = 3;
+/// First version with all idle routes; earlier ones have an eighth of them.
+const FIRST_FULL: u64 = 3;
 
-/// The settings of version `number`, of about `kb` KB once they have grown.
+/// The settings of version `number`; about `kb` KB from [`FIRST_FULL`] on.
 pub fn config(number: u64, kb: usize) -> Value {
-    let kb = if number < GROWN { kb / 8 } else { kb };
-    // Versions increase in uneven steps.
+    let kb = if number < FIRST_FULL { kb / 8 } else { kb };
+    // Version numbers in the settings increase in uneven steps.
     let mut config = emulator::config(3 * number + number % 2, "/g/");
     let routes = config["routes"].as_array_mut().unwrap();
-    routes.push(route("moved", &Path::Moved.text(), moved_to(number)));
-    for at in number.saturating_sub(STAYS - 1).max(1)..=number {
-        let prefix = Path::Added(at).text();
+    routes.push(route(
+        "moved",
+        &Path::Moved.prefix(),
+        moved_route_service(number),
+    ));
+    for at in number.saturating_sub(ROUTE_VERSIONS - 1).max(1)..=number {
+        let prefix = Path::Added(at).prefix();
         routes.push(route(&format!("added{at}"), &prefix, Service::App));
     }
-    for at in 0..kb * 1_024 / IDLE_BYTES {
+    for at in 0..kb * 1_024 / IDLE_ROUTE_BYTES {
         let host = format!("idle{at}.example");
         let mut idle = route(&format!("idle-route-{at}"), "/", Service::App);
         idle["host"] = json!(host);
-        // A change of weights alone, which no caller can tell.
+        // Changes weights only, which callers can't observe.
         if at == 0 {
             idle["split"] = json!([{"service": "app", "weight": 1 + number % 7},
                 {"service": "alt", "weight": 3}]);
@@ -131,23 +135,24 @@
     config
 }
 
-/// Settings that nobody can read.
+/// Settings that daemons cannot parse.
 pub fn invalid(number: u64) -> Value {
     let mut config = config(number, 0);
     config["routes"] = json!("none");
     config
 }
 
-/// The number of routes that a prober may draw from at version `newest`.
-pub fn draw(newest: u64, draw: u64) -> Path {
-    match draw % 10 {
+/// The route for the next request, chosen by the random number `random` while
+/// `newest` is the newest version.
+pub fn choose_path(newest: u64, random: u64) -> Path {
+    match random % 10 {
         0..4 => Path::Moved,
         4..7 => Path::Added(newest),
         7 => Path::Added(newest.saturating_sub(1).max(1)),
-        8 => Path::Added(newest.saturating_sub(STAYS).max(1)),
-        _ => Path::Never,
+        8 => Path::Added(newest.saturating_sub(ROUTE_VERSIONS).max(1)),
+        _ => Path::Absent,
     }
 }
 
-/// The number of the newest version that callers may know of.
-pub type Newest = Arc<std::sync::atomic::AtomicU64>;
+/// The number of the newest acknowledged version.
+pub type NewestVersion = Arc<std::sync::atomic::AtomicU64>;
--- a/crates/comfreyhall/tests/settings_soak/oracle.rs
+++ b/crates/comfreyhall/tests/settings_soak/oracle.rs
@@ -1,8 +1,8 @@
-//! Which versions may answer, and which answers break a promise.
+//! Decides which versions may be active in a daemon, and which answers violate that.
 //!
-//! It knows when each version was sent and acknowledged, when each daemon's
-//! process began, and when what was disturbed. It knows nothing of how daemons
-//! learn.
+//! The oracle knows when each version was sent and acknowledged, when each daemon
+//! process started, and when faults disturbed which daemons. It does not depend on
+//! how daemons learn of versions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,49 +10,50 @@
     time::{Duration, Instant},
 };
 
-use super::history::{self, Path, Seen};
+use super::history::{self, Outcome, Path};
 
-/// An acknowledged version is in force within this.
-pub const APPLY: Duration = Duration::from_secs(3);
+/// Time within which an acknowledged version must be active in every daemon.
+pub const APPLY_LIMIT: Duration = Duration::from_secs(3);
 
-/// Without disturbance for so long, a daemon counts as in touch.
-pub const TOUCH: Duration = Duration::from_secs(4);
+/// A daemon that has run without a disturbance for this long counts as undisturbed.
+pub const UNDISTURBED_TIME: Duration = Duration::from_secs(4);
 
-/// After this a version that was seen may not go back.
-pub const BACK: Duration = Duration::from_millis(250);
+/// Time after an answer from which the daemon may not answer by an older version.
+pub const REGRESSION_DELAY: Duration = Duration::from_millis(250);
 
-/// Refusals in a row of a route that is surely there, from which on a daemon counts
-/// as not serving it: single ones are told by admission that the wait is too long.
-pub const STREAK: usize = 3;
+/// Consecutive rejections on routes that certainly exist, from which a daemon counts
+/// as not serving them. Fewer are allowed, as admission control rejects single
+/// requests when the wait is too long.
+pub const REJECTION_STREAK: usize = 3;
 
-/// A version that was made.
+/// A version of the settings that was published.
 #[derive(Debug, Clone, Copy)]
-pub struct Made {
+pub struct Version {
     pub number: u64,
     pub sent: Instant,
     pub acked: Instant,
 }
 
-/// Whom a disturbance concerns.
+/// The daemons that a disturbance affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Whom {
+pub enum Scope {
     All,
     Daemon(usize),
 }
 
-/// Something that excuses a daemon.
+/// A time span in which a daemon may serve an older version or reject requests.
 #[derive(Debug, Clone)]
 pub struct Disturbance {
-    pub whom: Whom,
+    pub scope: Scope,
     pub span: Range<Instant>,
 }
 
-/// What was done.
+/// Everything that was done to the fleet in a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// In order of their numbers.
-    pub made: Vec<Made>,
-    /// Starts of processes by daemon.
+    /// Ordered by number.
+    pub versions: Vec<Version>,
+    /// Process starts, each with the index of the daemon.
     pub starts: Vec<(usize, Instant)>,
     pub disturbances: Vec<Disturbance>,
 }
@@ -62,73 +63,75 @@
 pub struct Answer {
     pub daemon: usize,
     pub path: Path,
-    pub seen: Seen,
+    pub outcome: Outcome,
     pub sent: Instant,
     pub ended: Instant,
 }
 
-/// A promise that was broken.
+/// The guarantee that an answer violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// A daemon in touch answered by an older version than may be in force.
-    TooOld,
-    /// A daemon answered by an older version than it had shown before.
-    WentBack,
-    /// No version that was ever sent allows the answer.
-    Never,
-    /// A route that has been there for long enough was denied, by any daemon.
-    Denied,
-    /// A daemon in touch refused, again and again, routes that every version in
-    /// force has.
-    Refused,
+pub enum ViolationKind {
+    /// An undisturbed daemon answered by a version older than any that may be active.
+    Stale,
+    /// A daemon answered by an older version than in an earlier answer.
+    Regressed,
+    /// No version that had been sent allows the answer.
+    Impossible,
+    /// A daemon, even a disturbed one, answered 404 on a route that every version
+    /// which may be active has.
+    NotFound,
+    /// An undisturbed daemon repeatedly rejected requests on routes that every version
+    /// which may be active has.
+    Rejected,
 }
 
-/// A broken promise with what shows it.
+/// An answer that violates a guarantee, with details for the report.
 #[derive(Debug, Clone, Copy)]
-pub struct Broken {
-    pub fault: Fault,
+pub struct Violation {
+    pub kind: ViolationKind,
     pub answer: Answer,
-    /// From the first version on.
-    pub at: Duration,
+    /// Time since the first version was acknowledged.
+    pub elapsed: Duration,
     /// Newest version that allows the answer.
-    pub by: u64,
-    /// Oldest that may be in force.
-    pub due: u64,
-    /// Since when the oldest that may be in force was acknowledged.
-    pub late: Duration,
-    /// Since when the daemon had run.
-    pub up: Duration,
+    pub allowed_by: u64,
+    /// Oldest version that may be active.
+    pub required: u64,
+    /// Time since the oldest version that may be active was acknowledged.
+    pub required_age: Duration,
+    /// Uptime of the daemon.
+    pub uptime: Duration,
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self {
-            fault,
+            kind,
             answer: a,
-            at,
-            by,
-            due,
-            late,
-            up,
+            elapsed,
+            allowed_by,
+            required,
+            required_age,
+            uptime,
         } = self;
         write!(
             f,
-            "{at:.2?} n{} {fault:?}: {:?} {:?} by {by}, {due} acknowledged {late:.2?} before, up {up:.2?}",
-            a.daemon, a.path, a.seen
+            "{elapsed:.2?} n{} {kind:?}: {:?} {:?} by {allowed_by}, required {required} acknowledged {required_age:.2?} before, up {uptime:.2?}",
+            a.daemon, a.path, a.outcome
         )
     }
 }
 
 impl Record {
-    fn newest(&self, sent_before: Instant) -> u64 {
-        let made = self.made.iter().filter(|m| m.sent < sent_before);
-        made.map(|m| m.number).max().unwrap_or(0)
+    fn newest_sent(&self, sent_before: Instant) -> u64 {
+        let versions = self.versions.iter().filter(|v| v.sent < sent_before);
+        versions.map(|v| v.number).max().unwrap_or(0)
     }
 
-    /// The newest version acknowledged the whole bound before `at`.
-    fn due(&self, at: Instant) -> Option<Made> {
-        let due = self.made.iter().filter(|m| m.acked + APPLY < at);
-        due.max_by_key(|m| m.number).copied()
+    /// The oldest version that may be active at `at`: the newest one that had been
+    /// acknowledged for longer than [`APPLY_LIMIT`].
+    fn required(&self, at: Instant) -> Option<Version> {
+        let required = self.versions.iter().filter(|v| v.acked + APPLY_LIMIT < at);
+        required.max_by_key(|v| v.number).copied()
     }
 
     fn start(&self, daemon: usize, at: Instant) -> Option<Instant> {
@@ -136,108 +139,115 @@
         starts.map(|(_, t)| *t).max()
     }
 
-    fn in_touch(&self, daemon: usize, at: Instant) -> bool {
-        let from = at - TOUCH;
-        let concerns = |w: Whom| w == Whom::All || w == Whom::Daemon(daemon);
+    fn is_undisturbed(&self, daemon: usize, at: Instant) -> bool {
+        let from = at - UNDISTURBED_TIME;
+        let affects = |w: Scope| w == Scope::All || w == Scope::Daemon(daemon);
         let disturbed = self
             .disturbances
             .iter()
-            .any(|d| concerns(d.whom) && d.span.start <= at && d.span.end >= from);
+            .any(|d| affects(d.scope) && d.span.start <= at && d.span.end >= from);
         !disturbed && self.start(daemon, at).is_some_and(|s| s < from)
     }
 
-    /// Versions that allow `answer`: the oldest and the newest.
-    fn allowing(&self, answer: &Answer) -> Option<(u64, u64)> {
-        let newest = self.newest(answer.ended);
-        let allows = |n: &u64| history::allows(*n, answer.path, answer.seen);
-        let first = (1..=newest).find(allows)?;
-        let last = (1..=newest).rev().find(allows)?;
-        Some((first, last))
+    /// The oldest and the newest version that allow `answer`.
+    fn allowing_versions(&self, answer: &Answer) -> Option<(u64, u64)> {
+        let newest_sent = self.newest_sent(answer.ended);
+        let allows = |n: &u64| history::allows(*n, answer.path, answer.outcome);
+        let oldest_allowing = (1..=newest_sent).find(allows)?;
+        let newest_allowing = (1..=newest_sent).rev().find(allows)?;
+        Some((oldest_allowing, newest_allowing))
     }
 
-    /// Whether every version that may be in force has the answer's route. One that
-    /// knows that it may be behind need not deny another.
-    fn surely_there(&self, answer: &Answer) -> bool {
-        let due = self.due(answer.sent).map_or(0, |m| m.number);
-        let newest = self.newest(answer.ended);
-        due > 0 && (due..=newest).all(|n| history::has(n, answer.path))
+    /// Whether every version that may be active has the answer's route. On any other
+    /// route, a daemon that knows that it may be behind can reject the request instead
+    /// of answering 404.
+    fn must_have_route(&self, answer: &Answer) -> bool {
+        let required = self.required(answer.sent).map_or(0, |v| v.number);
+        let newest_sent = self.newest_sent(answer.ended);
+        required > 0 && (required..=newest_sent).all(|n| history::has_route(n, answer.path))
     }
 
-    /// Whether `answer` of `answers` ends a streak of refusals of its daemon.
-    fn streak(&self, answers: &[Answer], at: usize) -> bool {
+    /// Whether the answer at index `at` completes a streak of rejections by its daemon.
+    fn completes_streak(&self, answers: &[Answer], at: usize) -> bool {
         let answer = &answers[at];
-        let before = answers[..=at].iter().rev();
-        let theirs = before.filter(|a| a.daemon == answer.daemon && self.surely_there(a));
-        let refused = theirs.take_while(|a| a.seen == Seen::Refused);
-        refused.take(STREAK).count() == STREAK
+        let earlier = answers[..=at].iter().rev();
+        let theirs = earlier.filter(|a| a.daemon == answer.daemon && self.must_have_route(a));
+        let rejected = theirs.take_while(|a| a.outcome == Outcome::Rejected);
+        rejected.take(REJECTION_STREAK).count() == REJECTION_STREAK
     }
 
-    fn fault(&self, answer: &Answer, shown: u64) -> Option<Fault> {
-        let due = self.due(answer.sent).map_or(0, |m| m.number);
-        let touch = self.in_touch(answer.daemon, answer.sent);
-        match answer.seen {
-            Seen::Nothing => return None,
-            Seen::Refused => {
-                return (touch && self.surely_there(answer)).then_some(Fault::Refused);
+    fn violation_kind(&self, answer: &Answer, newest_shown: u64) -> Option<ViolationKind> {
+        let required = self.required(answer.sent).map_or(0, |v| v.number);
+        let undisturbed = self.is_undisturbed(answer.daemon, answer.sent);
+        match answer.outcome {
+            Outcome::Inconclusive => return None,
+            Outcome::Rejected => {
+                return (undisturbed && self.must_have_route(answer))
+                    .then_some(ViolationKind::Rejected);
             }
-            Seen::Ran(_) | Seen::Denied => {}
+            Outcome::AnsweredBy(_) | Outcome::NotFound => {}
         }
-        let Some((_, last)) = self.allowing(answer) else {
-            return Some(Fault::Never);
+        let Some((_, newest_allowing)) = self.allowing_versions(answer) else {
+            return Some(ViolationKind::Impossible);
         };
-        if last < due && touch {
-            return Some(Fault::TooOld);
+        if newest_allowing < required && undisturbed {
+            return Some(ViolationKind::Stale);
         }
-        if last < due && answer.seen == Seen::Denied {
-            return Some(Fault::Denied);
+        if newest_allowing < required && answer.outcome == Outcome::NotFound {
+            return Some(ViolationKind::NotFound);
         }
-        (last < shown).then_some(Fault::WentBack)
+        (newest_allowing < newest_shown).then_some(ViolationKind::Regressed)
     }
 }
 
-/// The promises that `answers` break.
-pub fn judge(record: &Record, answers: &[Answer]) -> Vec<Broken> {
+/// The violations in `answers`.
+pub fn find_violations(record: &Record, answers: &[Answer]) -> Vec<Violation> {
     let mut out = Vec::new();
     for (at, answer) in answers.iter().enumerate() {
         let start = record.start(answer.daemon, answer.sent);
-        let shown = answers.iter().enumerate().filter(|(other, before)| {
-            *other != at
-                && before.daemon == answer.daemon
-                && before.ended + BACK < answer.sent
-                && Some(before.sent) >= start
-                && matches!(before.seen, Seen::Ran(_) | Seen::Denied)
+        let newest_shown = answers.iter().enumerate().filter(|(earlier_at, earlier)| {
+            *earlier_at != at
+                && earlier.daemon == answer.daemon
+                && earlier.ended + REGRESSION_DELAY < answer.sent
+                && Some(earlier.sent) >= start
+                && matches!(earlier.outcome, Outcome::AnsweredBy(_) | Outcome::NotFound)
         });
-        let shown = shown.filter_map(|(_, before)| record.allowing(before));
-        let shown = shown.map(|(first, _)| first).max().unwrap_or(0);
-        let Some(fault) = record.fault(answer, shown) else {
+        let newest_shown =
+            newest_shown.filter_map(|(_, earlier)| record.allowing_versions(earlier));
+        let newest_shown = newest_shown.map(|(oldest, _)| oldest).max().unwrap_or(0);
+        let Some(kind) = record.violation_kind(answer, newest_shown) else {
             continue;
         };
-        if fault == Fault::Refused && !record.streak(answers, at) {
+        if kind == ViolationKind::Rejected && !record.completes_streak(answers, at) {
             continue;
         }
-        let due = record.due(answer.sent);
-        let begin = record.made.first().map_or(answer.sent, |m| m.acked);
-        out.push(Broken {
-            fault,
+        let required = record.required(answer.sent);
+        let first_acked = record.versions.first().map_or(answer.sent, |v| v.acked);
+        out.push(Violation {
+            kind,
             answer: *answer,
-            at: answer.sent.saturating_duration_since(begin),
-            by: record.allowing(answer).map_or(0, |(_, last)| last),
-            due: due.map_or(0, |m| m.number),
-            late: due.map_or(Duration::ZERO, |m| answer.sent - m.acked),
-            up: start.map_or(Duration::ZERO, |s| answer.sent - s),
+            elapsed: answer.sent.saturating_duration_since(first_acked),
+            allowed_by: record
+                .allowing_versions(answer)
+                .map_or(0, |(_, newest)| newest),
+            required: required.map_or(0, |v| v.number),
+            required_age: required.map_or(Duration::ZERO, |v| answer.sent - v.acked),
+            uptime: start.map_or(Duration::ZERO, |s| answer.sent - s),
         });
     }
     out
 }
 
-/// How often each promise was broken, and by how many daemons.
-pub fn count(broken: &[Broken]) -> BTreeMap<String, (usize, usize)> {
+/// The number of violations of each kind, and of the daemons that caused them.
+pub fn count_by_kind(violations: &[Violation]) -> BTreeMap<String, (usize, usize)> {
     let mut daemons: BTreeMap<String, (usize, BTreeSet<usize>)> = BTreeMap::new();
-    for one in broken {
-        let entry = daemons.entry(format!("{:?}", one.fault)).or_default();
+    for violation in violations {
+        let entry = daemons.entry(format!("{:?}", violation.kind)).or_default();
         entry.0 += 1;
-        entry.1.insert(one.answer.daemon);
+        entry.1.insert(violation.answer.daemon);
     }
-    let counted = daemons.into_iter().map(|(f, (n, d))| (f, (n, d.len())));
+    let counted = daemons
+        .into_iter()
+        .map(|(kind, (n, d))| (kind, (n, d.len())));
     counted.collect()
 }
--- a/crates/comfreyhall/tests/settings_soak/probe.rs
+++ b/crates/comfreyhall/tests/settings_soak/probe.rs
@@ -1,4 +1,4 @@
-//! Callers that ask each daemon on routes that tell versions apart.
+//! Callers that send requests to each daemon on routes that differ between versions.
 
 use std::{
     sync::{
@@ -14,45 +14,49 @@
 use super::{
     emulator::caller::{Caller, PathOutcome},
     fleet::Fleet,
-    history::{self, Newest, Seen, Service},
-    oracle::{Answer, Disturbance, Whom},
+    history::{self, NewestVersion, Outcome, Service},
+    oracle::{Answer, Disturbance, Scope},
 };
 
-/// Pause between two requests to one daemon.
+/// Range of pauses between two requests to one daemon.
 const PAUSE_MS: std::ops::Range<u64> = 60..180;
 
-/// Starts a caller for each daemon, until told to stop.
-pub fn spawn(fleet: &Fleet, seed: u64, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<Vec<Answer>>> {
-    let fronts = fleet.fronts().into_iter().enumerate();
-    fronts
-        .map(|(daemon, front)| {
+/// Starts one caller for each daemon; they run until `stop` is set.
+pub fn spawn_callers(
+    fleet: &Fleet,
+    seed: u64,
+    stop: &Arc<AtomicBool>,
+) -> Vec<JoinHandle<Vec<Answer>>> {
+    let front_addrs = fleet.front_addrs().into_iter().enumerate();
+    front_addrs
+        .map(|(daemon, front_addr)| {
             let rng = StdRng::seed_from_u64(seed * 1_000 + daemon as u64);
             let newest = fleet.newest.clone();
-            tokio::spawn(call(daemon, front, rng, newest, stop.clone()))
+            tokio::spawn(run_caller(daemon, front_addr, rng, newest, stop.clone()))
         })
         .collect()
 }
 
-async fn call(
+async fn run_caller(
     daemon: usize,
-    front: String,
+    front_addr: String,
     mut rng: StdRng,
-    newest: Newest,
+    newest: NewestVersion,
     stop: Arc<AtomicBool>,
 ) -> Vec<Answer> {
     let mut caller = Caller::default();
     let mut out = Vec::new();
     while !stop.load(Ordering::SeqCst) {
-        let path = history::draw(newest.load(Ordering::SeqCst), rng.random());
+        let path = history::choose_path(newest.load(Ordering::SeqCst), rng.random());
         let id = format!("d{daemon}r{}", out.len());
         let sent = Instant::now();
-        let ran = caller
-            .send_path(&front, &format!("{}x", path.text()), &id)
+        let reply = caller
+            .send_path(&front_addr, &format!("{}x", path.prefix()), &id)
             .await;
         out.push(Answer {
             daemon,
             path,
-            seen: seen(&ran),
+            outcome: outcome_of(&reply),
             sent,
             ended: Instant::now(),
         });
@@ -61,35 +65,36 @@
     out
 }
 
-/// Pause between two looks at whether the machine has time for this process.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which wake-up latency of this process is measured.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Lateness of a look from which the machine counts as too busy.
-const STARVED: Duration = Duration::from_millis(250);
+/// Wake-up latency above which the machine counts as overloaded.
+const MAX_WAKE_LATENCY: Duration = Duration::from_millis(250);
 
-/// When the machine was too busy to wake this process in time, and so daemons too.
-pub async fn starved(stop: Arc<AtomicBool>) -> Vec<Disturbance> {
+/// Records when the machine was too busy to wake this process in time, as daemons
+/// are then delayed too. Runs until `stop` is set.
+pub async fn record_starvation(stop: Arc<AtomicBool>) -> Vec<Disturbance> {
     let mut out = Vec::new();
     while !stop.load(Ordering::SeqCst) {
-        let began = Instant::now();
-        tokio::time::sleep(LOOK).await;
-        if began.elapsed() > LOOK + STARVED {
-            let span = began..Instant::now();
-            let whom = Whom::All;
-            out.push(Disturbance { whom, span });
+        let check_start = Instant::now();
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if check_start.elapsed() > CHECK_INTERVAL + MAX_WAKE_LATENCY {
+            let span = check_start..Instant::now();
+            let scope = Scope::All;
+            out.push(Disturbance { scope, span });
         }
     }
     out
 }
 
-fn seen(ran: &PathOutcome) -> Seen {
-    match ran {
+fn outcome_of(reply: &PathOutcome) -> Outcome {
+    match reply {
         PathOutcome::AnsweredBy(target) if target.starts_with(Service::App.name()) => {
-            Seen::Ran(Service::App)
+            Outcome::AnsweredBy(Service::App)
         }
-        PathOutcome::AnsweredBy(_) => Seen::Ran(Service::Alt),
-        PathOutcome::Status(404) => Seen::Denied,
-        PathOutcome::Status(429 | 503) => Seen::Refused,
-        PathOutcome::Status(_) | PathOutcome::NoAnswer => Seen::Nothing,
+        PathOutcome::AnsweredBy(_) => Outcome::AnsweredBy(Service::Alt),
+        PathOutcome::Status(404) => Outcome::NotFound,
+        PathOutcome::Status(429 | 503) => Outcome::Rejected,
+        PathOutcome::Status(_) | PathOutcome::NoAnswer => Outcome::Inconclusive,
     }
 }
