--- a/crates/comfreyhall/src/bin/comfreyhall-standin.rs
+++ b/crates/comfreyhall/src/bin/comfreyhall-standin.rs
@@ -1,14 +1,14 @@
-//! `comfreyhall-standin`: the platform's stand-ins for one deployment.
+//! `comfreyhall-standin`: stand-ins for the services of the platform, for one deployment.
 
 use std::time::Duration;
 
 use argh::FromArgs;
 use comfreyhall::{settings::Settings, standins};
 
-/// Time calls in progress get when the process is stopped.
+/// Time that calls in progress get to finish when the process is stopped.
 const STOP_GRACE: Duration = Duration::from_millis(500);
 
-/// Stand-ins of the platform (table service, weight and object stores,
+/// Stand-ins for the platform (table service, weight and object stores,
 /// instance list, engines, plain services).
 #[derive(FromArgs)]
 struct Args {
@@ -29,13 +29,13 @@
     comfreyhall_telemetry::init_logs(&args.log);
     comfreyhall_telemetry::end_on_panic();
     let settings = Settings::load(&args.settings)?;
-    let wanted = |name: &str| args.only.is_empty() || args.only.iter().any(|o| o == name);
+    let is_selected = |name: &str| args.only.is_empty() || args.only.iter().any(|o| o == name);
     let runtime = tokio::runtime::Runtime::new()?;
-    let served: Result<(), tonic::transport::Error> = runtime.block_on(async {
-        let servers = standins::deployment(&settings, wanted, comfreyhall_telemetry::stop_signal);
+    let result: Result<(), tonic::transport::Error> = runtime.block_on(async {
+        let servers = standins::deployment(&settings, is_selected, comfreyhall_telemetry::stop_signal);
         log::info!(target: "standin", "serving {} stand-ins of {}", servers.len(), settings.deployment);
-        // Calls that wait behind the weight store's queue may take minutes;
-        // a stop does not wait for them.
+        // Calls queued in the weight store may take minutes, so a stop doesn't wait
+        // for them beyond the grace period.
         let stopped = async {
             comfreyhall_telemetry::stop_signal().await;
             tokio::time::sleep(STOP_GRACE).await;
@@ -46,5 +46,5 @@
         }
     });
     runtime.shutdown_background();
-    Ok(served?)
+    Ok(result?)
 }
--- a/crates/comfreyhall/src/bin/comfreyhalld.rs
+++ b/crates/comfreyhall/src/bin/comfreyhalld.rs
@@ -10,7 +10,7 @@
 /// The comfreyhall daemon of one entry instance.
 #[derive(FromArgs)]
 struct Args {
-    /// run on the users' platform, which says where the settings are
+    /// run on the users' platform, which provides the path of the settings file
     #[argh(switch)]
     platform: bool,
     /// settings file of the deployment (JSON with comments)
@@ -35,21 +35,21 @@
     }
     comfreyhall_telemetry::init_logs(&args.log);
     let (Some(settings), Some(instance)) = (&args.settings, &args.instance) else {
-        return Err(eyre!("give --settings and --instance, or --platform"));
+        return Err(eyre!("pass --settings and --instance, or --platform"));
     };
     let settings = Settings::load(settings)?;
     let policy = match args.policy.as_deref() {
         None => None,
         Some("frequency") => Some(PolicyKind::Frequency),
         Some("lru") => Some(PolicyKind::Lru),
-        Some(other) => return Err(eyre!("policy {other:?} is unknown; use frequency or lru")),
+        Some(other) => return Err(eyre!("unknown policy {other:?}; use frequency or lru")),
     };
     let runtime = tokio::runtime::Runtime::new()?;
     runtime.block_on(daemon::run(settings, instance, policy))
 }
 
-/// The platform's instances have a part of one core: one thread serves, and
-/// no time goes into moving work between threads.
+/// Runs the daemon on the platform. Its instances have a fraction of one core, so a
+/// single-threaded runtime avoids the cost of moving work between threads.
 fn on_platform(args: &Args) -> eyre::Result<()> {
     comfreyhall_telemetry::init_json(&args.log);
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/comfreyhall/src/lib.rs
+++ b/crates/comfreyhall/src/lib.rs
@@ -1,10 +1,9 @@
-//! comfreyhall, a serving layer for very many LoRA adapters.
+//! comfreyhall, a serving layer for large numbers of LoRA adapters.
 //!
-//! This package holds only the programs: `comfreyhalld` (the daemon),
+//! This package contains only the programs: `comfreyhalld` (the daemon),
 //! `comfreyhall` (the operator command line and load tool) and
-//! `comfreyhall-standin` (the platform's stand-ins). Each is a thin `main`
-//! over the library crates that do the work; what they make public is
-//! listed here.
+//! `comfreyhall-standin` (stand-ins for the platform's services). Each is a thin
+//! `main` over the library crates, which are re-exported here.
 
 pub use comfreyhall_cli as cli;
 pub use comfreyhall_daemon as daemon;
