--- a/crates/comfreyhall/tests/soak.rs
+++ b/crates/comfreyhall/tests/soak.rs
@@ -1,24 +1,24 @@
-//! A fault soak: real daemons as processes, faults from outside them.
+//! Soak test with faults: real daemon processes, and faults injected from outside.
 //!
-//! A seed decides what happens to three daemons that run on the emulated
-//! platform: stops, kills, freezes and reloads by signals; their ways to the
-//! store and to targets delayed, cut, silenced or cut one way by loopback
-//! proxies; a store that is down or leaves commits unanswered; streams that
-//! break; a request that ends the engine that begins it. Faults come in series and overlap. Callers go on all the while, on
-//! open connections until the process is gone, and what they were told is
-//! held against what the targets ran.
+//! A seed decides what happens to three daemons on the emulated platform. Signals
+//! stop, kill, freeze and reload them. Loopback proxies delay, cut, silence or cut in
+//! one direction their links to the store and to targets. The store is down or leaves
+//! commits unanswered, streams break off, and a poison request crashes each engine
+//! that runs it. Faults follow in series and overlap. Callers send requests
+//! throughout, on connections that stay open until the process is gone, and the
+//! outcomes that they get are compared with what the targets ran.
 //!
-//! CI plays [`SEEDS`]; by hand, `SOAK_SEEDS=100..150 SOAK_SECONDS=20 cargo
-//! test -p comfreyhall --test soak -- --nocapture`. A seed that ever failed
-//! stays in [`SEEDS`] with a line on its cause.
+//! CI runs [`SEEDS`]. To run others: `SOAK_SEEDS=100..150 SOAK_SECONDS=20 cargo
+//! test -p comfreyhall --test soak -- --nocapture`. A seed that has failed stays in
+//! [`SEEDS`], with a line on the cause.
 
 mod support;
 
 #[path = "../../../platform/tests/emulator/mod.rs"]
 mod emulator;
 
-#[path = "soak/words.rs"]
-mod words;
+#[path = "soak/target_signals.rs"]
+mod target_signals;
 
 use std::{
     collections::HashMap,
@@ -48,63 +48,64 @@
 use serde_json::json;
 use support::{Wire, free_port};
 
-/// Seeds that CI plays: one of planned work only, two of every fault, and those
-/// that failed. 202: a kill was seen by callers before the soak had noted it.
-/// 223: a way cut in one direction lost bytes within a connection and went on,
-/// which no link does; streams came with their last event only. 4: streams broke off as scripted more
-/// than the shadow after that was noted, as all had been held back meanwhile.
-/// From [`WORDS_FROM`] on, targets say things of themselves too.
+/// Seeds that CI runs: one with planned work only, two with all faults, and those
+/// that have failed. 202: callers noticed a kill before the test had recorded it.
+/// 223: the proxy for links cut in one direction dropped bytes within a connection
+/// and then went on, which no real link does, so streams arrived with their last
+/// event only. 4: scripted stream breaks happened more than [`FAULT_AFTERMATH`] after
+/// they were recorded, as all targets had been quarantined meanwhile. From
+/// [`SIGNALS_FROM`] on, targets also send signals about themselves.
 const SEEDS: [u64; 7] = [3, 4, 5, 202, 223, 400, 401];
 
-/// Seeds from this one on also have targets that name limits, ask for rest or
-/// leave, and changes in quick succession when the store is back; those before it
-/// play what they always did.
-const WORDS_FROM: u64 = 400;
+/// From this seed on, targets also announce limits, cooldowns and draining, and the
+/// configuration changes in quick succession when the store is back. Smaller seeds
+/// keep their sequence of faults.
+const SIGNALS_FROM: u64 = 400;
 
-/// Seconds of faults in one run.
-const SECONDS: u64 = 8;
+/// How long faults are injected in one run.
+const FAULT_SECONDS: u64 = 8;
 
 const DAEMONS: usize = 3;
 
 /// Engines among the targets; the others are plain services.
 const ENGINES: usize = 3;
 
-/// Pause between looks at daemons that are to end.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which daemons that should stop are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Callers at once; each has one request at a time.
+/// Concurrent callers, each with one request at a time.
 const CALLERS: usize = 12;
 
-/// Adapters asked for: more than the engines have places.
+/// Adapters that callers request: more than the engines have slots.
 const ADAPTERS: usize = 14;
 
-/// Ms from one event of a stream to the next: a stream then lasts for most of
-/// a second, longer than a stop that does not wait for it.
-const PACE_MS: u64 = 150;
+/// Interval between the events of a stream. A stream then takes most of a second,
+/// longer than a stop that doesn't wait for it.
+const EVENT_INTERVAL_MS: u64 = 150;
 
-/// A planned stop has this long, as the settings say.
+/// Time that the settings give a planned stop.
 const GRACE: Duration = Duration::from_secs(8);
 
-/// Time before a request within which an unplanned fault may explain that it
-/// broke off.
-const SHADOW: Duration = Duration::from_secs(3);
+/// Time after an unplanned fault in which requests that start may still be truncated
+/// because of it.
+const FAULT_AFTERMATH: Duration = Duration::from_secs(3);
 
-/// A request that was cut sooner than this may not have been read.
-const UNREAD: Duration = Duration::from_millis(200);
+/// A request that is truncated within this time may not have been read.
+const MAX_UNREAD: Duration = Duration::from_millis(200);
 
-/// Pause between two attempts of the caller of a deadly request.
-const DEADLY_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between two attempts to send the poison request.
+const POISON_PAUSE: Duration = Duration::from_millis(200);
 
-/// One attempt of a caller.
+/// One request of a caller and its outcome.
 struct Attempt {
     id: String,
     kind: Kind,
-    began: Instant,
+    started_at: Instant,
     ended: Instant,
-    told: Outcome,
+    outcome: Outcome,
 }
 
-/// One daemon with its ways to the platform.
+/// One daemon process and its link to the store.
 struct Daemon {
     child: Option<Child>,
     front: String,
@@ -142,8 +143,8 @@
         }
     }
 
-    /// How it ended, if it has.
-    fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status, once the process has ended.
+    fn try_wait(&mut self) -> Option<ExitStatus> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().unwrap()?;
         self.child = None;
@@ -151,61 +152,61 @@
     }
 }
 
-/// A way that a proxy can spoil.
+/// A link whose proxy can inject faults.
 #[derive(Debug, Clone, Copy)]
-enum Way {
-    /// Of a daemon to the store.
+enum Link {
+    /// From a daemon to the store.
     Store(usize),
-    /// Of all daemons to a target.
+    /// From all daemons to a target.
     Target(usize),
 }
 
-/// What ends a fault that lasts.
+/// What is done to end a fault.
 #[derive(Debug, Clone, Copy)]
-enum End {
-    Thaw(usize),
-    /// A killed daemon starts again.
+enum Recovery {
+    Unfreeze(usize),
+    /// Restart a killed daemon.
     Restart(usize),
-    /// A daemon told to stop has ended, and starts again.
-    Stopped(usize),
-    StoreUp,
-    StoreAnswers,
-    Mend(Way),
+    /// Restart a daemon once it has stopped after SIGTERM.
+    AwaitStop(usize),
+    RestoreStore,
+    ResumeStore,
+    RestoreLink(Link),
 }
 
-/// A fault in force.
-struct Active {
-    began: Instant,
-    until: Instant,
-    end: End,
+/// A fault or planned stop in progress.
+struct ActiveFault {
+    started_at: Instant,
+    ends_at: Instant,
+    recovery: Recovery,
 }
 
 /// A deployment of daemons on an emulated platform.
-struct Site {
+struct Fleet {
     dir: PathBuf,
     store: Arc<Store>,
-    /// Targets, each behind a wire that all daemons use.
+    /// Targets, each behind a proxy that all daemons use.
     targets: Vec<(Arc<Host>, Wire)>,
     daemons: Vec<Daemon>,
-    breaks: Arc<Mutex<u32>>,
+    stream_breaks: Arc<Mutex<u32>>,
     rng: StdRng,
-    /// When unplanned faults were in force.
+    /// When unplanned faults were active.
     faults: Vec<Range<Instant>>,
-    active: Vec<Active>,
-    /// Version of the configuration.
+    active_faults: Vec<ActiveFault>,
+    /// Number of the latest configuration.
     version: u64,
-    /// Whether changes come in quick succession when the store is back.
-    series: bool,
+    /// Whether the configuration changes in quick succession when the store is back.
+    burst_changes: bool,
 }
 
-impl Site {
+impl Fleet {
     async fn start(seed: u64) -> Self {
         let dir =
             std::env::temp_dir().join(format!("comfreyhall-soak-{seed}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let store = Arc::new(Store::default());
         let store_addr = start_store(store.clone()).await;
-        let breaks = Arc::new(Mutex::new(0));
+        let stream_breaks = Arc::new(Mutex::new(0));
         let mut targets = Vec::new();
         for (id, service) in [
             ("e1", "llm"),
@@ -214,41 +215,41 @@
             ("s1", "app"),
             ("s2", "app"),
         ] {
-            let plan = TargetOptions {
+            let options = TargetOptions {
                 name: id.into(),
                 service,
-                stream_breaks: breaks.clone(),
-                delay_ms: PACE_MS,
+                stream_breaks: stream_breaks.clone(),
+                delay_ms: EVENT_INTERVAL_MS,
             };
             let mut wire = None;
-            let host = Host::start_proxied(plan, store.clone(), |addr| {
+            let host = Host::start_proxied(options, store.clone(), |addr| {
                 wire.insert(Wire::to(addr)).addr.clone()
             });
             targets.push((host, wire.unwrap()));
         }
         store.put("op", "config", &config(1, "/g/"));
-        let mut site = Self {
+        let mut fleet = Self {
             dir,
             store,
             targets,
             daemons: Vec::new(),
-            breaks,
+            stream_breaks,
             rng: StdRng::seed_from_u64(seed),
             faults: Vec::new(),
-            active: Vec::new(),
+            active_faults: Vec::new(),
             version: 1,
-            series: seed >= WORDS_FROM,
+            burst_changes: seed >= SIGNALS_FROM,
         };
         let peers: Vec<String> = (0..DAEMONS).map(|_| addr()).collect();
         for i in 0..DAEMONS {
-            site.add_daemon(i, &peers, &store_addr);
+            fleet.add_daemon(i, &peers, &store_addr);
         }
-        for daemon in &site.daemons {
+        for daemon in &fleet.daemons {
             while !is_ready(&daemon.ready).await {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
-        site
+        fleet
     }
 
     fn add_daemon(&mut self, i: usize, peers: &[String], store: &str) {
@@ -273,35 +274,44 @@
         self.daemons.push(daemon);
     }
 
-    fn any_ms(&mut self, range: Range<u64>) -> Duration {
+    fn random_duration(&mut self, range: Range<u64>) -> Duration {
         Duration::from_millis(self.rng.random_range(range))
     }
 
-    /// Whether nothing is being done to daemon `i`.
-    fn idle(&self, i: usize) -> bool {
-        let busy = |a: &Active| matches!(a.end, End::Thaw(d) | End::Restart(d) | End::Stopped(d) if d == i);
-        !self.active.iter().any(busy)
+    /// Whether daemon `i` is neither frozen, killed nor stopping.
+    fn is_idle(&self, i: usize) -> bool {
+        let affects = |a: &ActiveFault| matches!(a.recovery, Recovery::Unfreeze(d) | Recovery::Restart(d) | Recovery::AwaitStop(d) if d == i);
+        !self.active_faults.iter().any(affects)
     }
 
-    /// Notes a fault that began at `began`: before it was done, as callers may
-    /// see it before this process goes on.
-    fn begin(&mut self, began: Instant, lasts: Duration, end: End) {
-        let until = began + lasts;
-        self.active.push(Active { began, until, end });
+    /// Records a fault that began at `started_at`. Callers of this method take that
+    /// time before they inject the fault, as its effects may be seen before this
+    /// process continues.
+    fn begin_fault(&mut self, started_at: Instant, duration: Duration, recovery: Recovery) {
+        let ends_at = started_at + duration;
+        self.active_faults.push(ActiveFault {
+            started_at,
+            ends_at,
+            recovery,
+        });
     }
 
-    /// Work that operators plan: nothing of a request may be lost by it.
+    /// Does planned operator work, which may not truncate any request.
     ///
-    /// A process that was just started is not the daemon's program yet, and
-    /// any signal ends it; so only daemons that have come up get signals.
-    async fn planned(&mut self) {
+    /// Only daemons that are ready get signals: a process that has just been started
+    /// may not have executed the daemon's program yet, and any signal would end it.
+    async fn planned_work(&mut self) {
         let i = self.rng.random_range(0..DAEMONS);
-        let up = self.idle(i) && is_ready(&self.daemons[i].ready).await;
+        let up = self.is_idle(i) && is_ready(&self.daemons[i].ready).await;
         match self.rng.random_range(0..3) {
             0 if up => {
                 self.daemons[i].signal(Signal::SIGTERM);
-                // What the machine needs to end a process comes on top.
-                self.begin(Instant::now(), GRACE + SHADOW, End::Stopped(i));
+                // Adds time for the machine to end the process.
+                self.begin_fault(
+                    Instant::now(),
+                    GRACE + FAULT_AFTERMATH,
+                    Recovery::AwaitStop(i),
+                );
             }
             1 if up => self.daemons[i].signal(Signal::SIGHUP),
             _ => {
@@ -311,126 +321,129 @@
         }
     }
 
-    /// A fault that nobody planned; it may overlap others.
-    fn fault(&mut self) {
-        let began = Instant::now();
-        let lasts = self.any_ms(200..2_500);
+    /// Injects an unplanned fault, which may overlap with others.
+    fn inject_fault(&mut self) {
+        let started_at = Instant::now();
+        let duration = self.random_duration(200..2_500);
         let i = self.rng.random_range(0..DAEMONS);
-        let way = match self.rng.random_range(0..3) {
-            0 => Way::Store(i),
-            1 => Way::Target(self.rng.random_range(0..ENGINES)),
-            _ => Way::Target(self.rng.random_range(ENGINES..self.targets.len())),
+        let link = match self.rng.random_range(0..3) {
+            0 => Link::Store(i),
+            1 => Link::Target(self.rng.random_range(0..ENGINES)),
+            _ => Link::Target(self.rng.random_range(ENGINES..self.targets.len())),
         };
         match self.rng.random_range(0..10) {
-            0 if self.idle(i) => {
+            0 if self.is_idle(i) => {
                 self.daemons[i].kill();
-                self.begin(began, lasts, End::Restart(i));
+                self.begin_fault(started_at, duration, Recovery::Restart(i));
             }
-            1 if self.idle(i) => {
+            1 if self.is_idle(i) => {
                 self.daemons[i].signal(Signal::SIGSTOP);
-                self.begin(began, lasts, End::Thaw(i));
+                self.begin_fault(started_at, duration, Recovery::Unfreeze(i));
             }
             2 => {
                 self.store.down.store(true, Ordering::SeqCst);
-                self.begin(began, lasts, End::StoreUp);
+                self.begin_fault(started_at, duration, Recovery::RestoreStore);
             }
             3 => {
                 self.store.hang_commits.store(true, Ordering::SeqCst);
-                self.begin(began, lasts, End::StoreAnswers);
+                self.begin_fault(started_at, duration, Recovery::ResumeStore);
             }
             4 | 5 => {
-                self.wire(way).cut(true);
-                self.begin(began, lasts, End::Mend(way));
+                self.wire(link).cut(true);
+                self.begin_fault(started_at, duration, Recovery::RestoreLink(link));
             }
             6 => {
-                self.wire(way).silence();
-                self.begin(began, Duration::ZERO, End::Mend(way));
+                self.wire(link).silence();
+                self.begin_fault(started_at, Duration::ZERO, Recovery::RestoreLink(link));
             }
             7 => {
-                self.wire(way).delay(150);
-                self.begin(began, lasts, End::Mend(way));
+                self.wire(link).delay(150);
+                self.begin_fault(started_at, duration, Recovery::RestoreLink(link));
             }
             8 => {
-                self.wire(way).one_way(true);
-                self.begin(began, lasts, End::Mend(way));
+                self.wire(link).one_way(true);
+                self.begin_fault(started_at, duration, Recovery::RestoreLink(link));
             }
             _ => {
-                *self.breaks.lock().unwrap() += 4;
-                self.begin(began, Duration::ZERO, End::Mend(way));
+                *self.stream_breaks.lock().unwrap() += 4;
+                self.begin_fault(started_at, Duration::ZERO, Recovery::RestoreLink(link));
             }
         }
     }
 
-    fn wire(&self, way: Way) -> &Wire {
-        match way {
-            Way::Store(i) => &self.daemons[i].store,
-            Way::Target(t) => &self.targets[t].1,
+    fn wire(&self, link: Link) -> &Wire {
+        match link {
+            Link::Store(i) => &self.daemons[i].store,
+            Link::Target(t) => &self.targets[t].1,
         }
     }
 
-    /// Ends the faults that are due, or all of them.
-    fn end(&mut self, all: bool) {
+    /// Ends the faults that have run their time, or all of them.
+    fn end_faults(&mut self, all: bool) {
         let now = Instant::now();
-        // Streams that are still to break off do so whenever some begin.
-        if *self.breaks.lock().unwrap() > 0 {
+        // Scripted stream breaks that remain can happen whenever a stream starts.
+        if *self.stream_breaks.lock().unwrap() > 0 {
             self.faults.push(now..now);
         }
-        for active in std::mem::take(&mut self.active) {
-            let over = match active.end {
-                End::Stopped(i) => self.stopped(i, now >= active.until),
-                _ => all || now >= active.until,
+        for fault in std::mem::take(&mut self.active_faults) {
+            let is_over = match fault.recovery {
+                Recovery::AwaitStop(i) => self.restart_if_stopped(i, now >= fault.ends_at),
+                _ => all || now >= fault.ends_at,
             };
-            if !over {
-                self.active.push(active);
+            if !is_over {
+                self.active_faults.push(fault);
                 continue;
             }
-            match active.end {
-                End::Stopped(_) => continue,
-                End::Thaw(i) => self.daemons[i].signal(Signal::SIGCONT),
-                End::Restart(i) => self.daemons[i].start(),
-                End::StoreUp => {
+            match fault.recovery {
+                Recovery::AwaitStop(_) => continue,
+                Recovery::Unfreeze(i) => self.daemons[i].signal(Signal::SIGCONT),
+                Recovery::Restart(i) => self.daemons[i].start(),
+                Recovery::RestoreStore => {
                     self.store.down.store(false, Ordering::SeqCst);
-                    self.change_in_series();
+                    self.change_in_burst();
                 }
-                End::StoreAnswers => self.store.hang_commits.store(false, Ordering::SeqCst),
-                End::Mend(way) => {
-                    let wire = self.wire(way);
+                Recovery::ResumeStore => self.store.hang_commits.store(false, Ordering::SeqCst),
+                Recovery::RestoreLink(link) => {
+                    let wire = self.wire(link);
                     wire.cut(false);
                     wire.delay(0);
                     wire.one_way(false);
                 }
             }
-            self.faults.push(active.began..Instant::now());
+            self.faults.push(fault.started_at..Instant::now());
         }
     }
 
-    /// Makes three changes at once, if this seed has such.
-    fn change_in_series(&mut self) {
-        for _ in 0..if self.series { 3 } else { 0 } {
+    /// Makes three configuration changes at once, if the seed has such bursts.
+    fn change_in_burst(&mut self) {
+        for _ in 0..if self.burst_changes { 3 } else { 0 } {
             self.version += 3;
             self.store.put("op", "config", &config(self.version, "/g/"));
         }
     }
 
-    /// Whether daemon `i` has ended as it was told to; it starts again then.
-    fn stopped(&mut self, i: usize, late: bool) -> bool {
-        let ended = self.daemons[i].ended();
-        assert!(!late || ended.is_some(), "daemon {i} did not end by itself");
+    /// Restarts daemon `i` if it has stopped after SIGTERM, and says whether it has.
+    fn restart_if_stopped(&mut self, i: usize, overdue: bool) -> bool {
+        let ended = self.daemons[i].try_wait();
+        assert!(
+            !overdue || ended.is_some(),
+            "daemon {i} did not stop after SIGTERM"
+        );
         let Some(status) = ended else { return false };
         assert!(
             status.success(),
-            "daemon {i} failed as it stopped: {status}"
+            "daemon {i} failed while stopping: {status}"
         );
         self.daemons[i].start();
         true
     }
 
-    /// Runs of each request over all targets.
-    fn runs(&self) -> HashMap<String, usize> {
+    /// How often each request ran, over all targets.
+    fn run_counts(&self) -> HashMap<String, usize> {
         let mut out = HashMap::new();
         let boots = self.targets.iter().flat_map(|(host, _)| host.boots());
-        for worker in boots {
-            for head in worker.executed.lock().unwrap().iter() {
+        for boot in boots {
+            for head in boot.executed.lock().unwrap().iter() {
                 let id = head["x-request-id"].to_str().unwrap().to_string();
                 *out.entry(id).or_default() += 1;
             }
@@ -438,29 +451,31 @@
         out
     }
 
-    /// Whether an unplanned fault was in force at `attempt` or shortly before.
-    fn explained(&self, attempt: &Attempt) -> bool {
-        let from = attempt.began - SHADOW;
+    /// Whether an unplanned fault was active during `attempt` or shortly before.
+    fn near_fault(&self, attempt: &Attempt) -> bool {
+        let from = attempt.started_at - FAULT_AFTERMATH;
         self.faults
             .iter()
             .any(|f| f.start <= attempt.ended && f.end >= from)
     }
 
-    /// What the promises say of `attempts`; each line is one that was broken.
-    fn broken(&self, attempts: &[Attempt]) -> Vec<String> {
-        let runs = self.runs();
+    /// The violated guarantees in `attempts`, one line each.
+    fn violations(&self, attempts: &[Attempt]) -> Vec<String> {
+        let run_counts = self.run_counts();
         let mut out = Vec::new();
         for a in attempts {
-            let ran = runs.get(&a.id).copied().unwrap_or(0);
-            let lasted = a.ended - a.began;
-            let what = match &a.told {
+            let ran = run_counts.get(&a.id).copied().unwrap_or(0);
+            let elapsed = a.ended - a.started_at;
+            let what = match &a.outcome {
                 Outcome::Invalid(why) => why.clone(),
                 _ if a.kind == Kind::Unsafe && ran > 1 => format!("ran {ran} times"),
                 Outcome::NotRun if a.kind == Kind::Unsafe && ran > 0 => {
-                    "said not to have run".into()
+                    "reported as not run, but ran".into()
                 }
-                Outcome::Truncated(why) if !self.explained(a) && (ran > 0 || lasted > UNREAD) => {
-                    format!("cut off in planned work: {why}")
+                Outcome::Truncated(why)
+                    if !self.near_fault(a) && (ran > 0 || elapsed > MAX_UNREAD) =>
+                {
+                    format!("truncated without an unplanned fault: {why}")
                 }
                 _ => continue,
             };
@@ -470,7 +485,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Fleet {
     fn drop(&mut self) {
         for daemon in &mut self.daemons {
             if let Some(child) = &mut daemon.child {
@@ -478,7 +493,7 @@
                 let _ = child.wait();
             }
         }
-        // The logs of a failed run are kept: they say why it failed.
+        // Keep the logs of a failed run for diagnosis.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.dir);
         }
@@ -489,11 +504,11 @@
     format!("127.0.0.1:{}", free_port())
 }
 
-/// Sends one request after another until told to stop.
-async fn call(
+/// Sends one request after another until `stop` is set.
+async fn run_caller(
     fronts: Vec<String>,
     mut rng: StdRng,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
 ) -> Vec<Attempt> {
     let mut caller = Caller::default();
@@ -504,18 +519,18 @@
             1 => Kind::Unsafe,
             _ => Kind::Stream,
         };
-        let id = format!("r{}", next.fetch_add(1, Ordering::SeqCst));
-        // The popular ones are asked for most.
+        let id = format!("r{}", next_id.fetch_add(1, Ordering::SeqCst));
+        // A skewed choice, so that some adapters are popular.
         let adapter = rng.random_range(0..ADAPTERS) * rng.random_range(0..ADAPTERS) / ADAPTERS;
         let front = &fronts[rng.random_range(0..fronts.len())];
-        let began = Instant::now();
-        let told = caller.send(front, kind, &id, &format!("a{adapter}")).await;
+        let started_at = Instant::now();
+        let outcome = caller.send(front, kind, &id, &format!("a{adapter}")).await;
         let attempt = Attempt {
             id,
             kind,
-            began,
+            started_at,
             ended: Instant::now(),
-            told,
+            outcome,
         };
         out.push(attempt);
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..60))).await;
@@ -523,94 +538,99 @@
     out
 }
 
-/// Sends a request that ends the engine that begins it, again and again through
-/// all daemons, until told to stop. It is one of many faults: what callers are
-/// told beside it is held against what ran, like all else.
-async fn call_deadly(fronts: Vec<String>, stop: Arc<AtomicBool>) {
+/// Sends a request that crashes the engine that runs it, repeatedly and through all
+/// daemons, until `stop` is set. It counts as a fault: the outcomes of other requests
+/// are still compared with what ran.
+async fn send_poison(fronts: Vec<String>, stop: Arc<AtomicBool>) {
     for (i, front) in fronts.iter().cycle().enumerate() {
         if stop.load(Ordering::SeqCst) {
             return;
         }
         let (id, body) = (format!("d{i}"), Bytes::from_static(POISON_BODY));
         let mut caller = Caller::default();
-        // Whatever it is told, it comes again.
+        // Sent again whatever the outcome is.
         caller.send_body(front, Kind::Stream, &id, "a0", body).await;
-        tokio::time::sleep(DEADLY_PAUSE).await;
+        tokio::time::sleep(POISON_PAUSE).await;
     }
 }
 
-/// Plays `seed`; every third one has planned work only.
-async fn play(seed: u64, seconds: u64) {
+/// Runs `seed`; every third seed has planned work only.
+async fn run_seed(seed: u64, seconds: u64) {
     println!("seed {seed}");
-    let mut site = Site::start(seed).await;
-    let fronts: Vec<String> = site.daemons.iter().map(|d| d.front.clone()).collect();
-    let (next, stop) = (
+    let mut fleet = Fleet::start(seed).await;
+    let fronts: Vec<String> = fleet.daemons.iter().map(|d| d.front.clone()).collect();
+    let (next_id, stop) = (
         Arc::new(AtomicU64::new(0)),
         Arc::new(AtomicBool::new(false)),
     );
     let callers: Vec<_> = (0..CALLERS as u64)
         .map(|i| {
             let rng = StdRng::seed_from_u64(seed * 1_000 + i);
-            tokio::spawn(call(fronts.clone(), rng, next.clone(), stop.clone()))
+            tokio::spawn(run_caller(
+                fronts.clone(),
+                rng,
+                next_id.clone(),
+                stop.clone(),
+            ))
         })
         .collect();
     let planned_only = seed.is_multiple_of(3);
-    let deadly = (!planned_only).then(|| tokio::spawn(call_deadly(fronts, stop.clone())));
-    let words = (seed >= WORDS_FROM).then(|| {
-        let hosts = site.targets.iter().map(|(host, _)| host.clone()).collect();
+    let poison = (!planned_only).then(|| tokio::spawn(send_poison(fronts, stop.clone())));
+    let target_signals = (seed >= SIGNALS_FROM).then(|| {
+        let hosts = fleet.targets.iter().map(|(host, _)| host.clone()).collect();
         let rng = StdRng::seed_from_u64(seed);
-        tokio::spawn(words::say(hosts, rng, stop.clone()))
+        tokio::spawn(target_signals::send_signals(hosts, rng, stop.clone()))
     });
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(seconds) {
-        let pause = site.any_ms(20..400);
+    let start_time = Instant::now();
+    while start_time.elapsed() < Duration::from_secs(seconds) {
+        let pause = fleet.random_duration(20..400);
         tokio::time::sleep(pause).await;
-        site.end(false);
-        if planned_only || site.rng.random_bool(0.3) {
-            site.planned().await;
+        fleet.end_faults(false);
+        if planned_only || fleet.rng.random_bool(0.3) {
+            fleet.planned_work().await;
         } else {
-            site.fault();
+            fleet.inject_fault();
         }
     }
-    while !site.active.is_empty() {
-        tokio::time::sleep(LOOK).await;
-        site.end(true);
+    while !fleet.active_faults.is_empty() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        fleet.end_faults(true);
     }
     stop.store(true, Ordering::SeqCst);
     let mut attempts = Vec::new();
     for caller in callers {
         attempts.extend(caller.await.unwrap());
     }
-    for fault in deadly.into_iter().chain(words) {
+    for fault in poison.into_iter().chain(target_signals) {
         fault.await.unwrap();
     }
-    for (host, _) in &site.targets {
-        site.faults.extend(host.outages());
+    for (host, _) in &fleet.targets {
+        fleet.faults.extend(host.outages());
     }
-    let deadly: u64 = site
+    let poison: u64 = fleet
         .targets
         .iter()
         .map(|(host, _)| host.poison_count())
         .sum();
-    // What was sent runs to its end, so that a late second run shows.
+    // Lets requests that were sent run to their end, to catch a late second run.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let count = |told: &Outcome| attempts.iter().filter(|a| a.told == *told).count();
+    let count = |outcome: &Outcome| attempts.iter().filter(|a| a.outcome == *outcome).count();
     println!(
-        "{} attempts, {} answered, {} not run, {} faults, deadly request at engines {deadly} times",
+        "{} attempts, {} answered, {} not run, {} faults, poison request reached engines {poison} times",
         attempts.len(),
         count(&Outcome::Answered),
         count(&Outcome::NotRun),
-        site.faults.len()
+        fleet.faults.len()
     );
-    let broken = site.broken(&attempts);
+    let violations = fleet.violations(&attempts);
     assert!(
-        broken.is_empty(),
-        "seed {seed}, logs in {}: {broken:#?}",
-        site.dir.display()
+        violations.is_empty(),
+        "seed {seed}, logs in {}: {violations:#?}",
+        fleet.dir.display()
     );
     assert!(
         count(&Outcome::Answered) > 0,
-        "seed {seed}: nothing was answered"
+        "seed {seed}: no request was answered"
     );
 }
 
@@ -623,11 +643,11 @@
 }
 
 #[test]
-fn soak_keeps_promises() {
-    let seconds = std::env::var("SOAK_SECONDS").map_or(SECONDS, |s| s.parse().unwrap());
+fn run_seed_guarantees_hold() {
+    let seconds = std::env::var("SOAK_SECONDS").map_or(FAULT_SECONDS, |s| s.parse().unwrap());
     for seed in seeds() {
         let runtime = tokio::runtime::Runtime::new().unwrap();
-        runtime.block_on(play(seed, seconds));
+        runtime.block_on(run_seed(seed, seconds));
         runtime.shutdown_background();
     }
 }
