--- a/crates/comfreyhall/tests/settings_soak.rs
+++ b/crates/comfreyhall/tests/settings_soak.rs
@@ -98,9 +98,9 @@
 /// Number of violations that are printed.
 const MAX_PRINTED: usize = 40;
 
-fn env_number<T: std::str::FromStr>(name: &str, default: T) -> T {
+fn env_number<T: std::str::FromStr>(name: &str, fallback: T) -> T {
     let text = std::env::var(name).ok();
-    text.map_or(default, |t| t.parse().ok().expect("a number"))
+    text.map_or(fallback, |t| t.parse().ok().expect("a number"))
 }
 
 fn cases() -> Vec<Case> {
--- a/crates/comfreyhall/tests/settings_soak/oracle.rs
+++ b/crates/comfreyhall/tests/settings_soak/oracle.rs
@@ -153,9 +153,9 @@
     fn allowing_versions(&self, answer: &Answer) -> Option<(u64, u64)> {
         let newest_sent = self.newest_sent(answer.ended);
         let allows = |n: &u64| history::allows(*n, answer.path, answer.outcome);
-        let oldest_allowing = (1..=newest_sent).find(allows)?;
-        let newest_allowing = (1..=newest_sent).rev().find(allows)?;
-        Some((oldest_allowing, newest_allowing))
+        let first = (1..=newest_sent).find(allows)?;
+        let last = (1..=newest_sent).rev().find(allows)?;
+        Some((first, last))
     }
 
     /// Whether every version that may be active has the answer's route. On any other
@@ -187,16 +187,16 @@
             }
             Outcome::AnsweredBy(_) | Outcome::NotFound => {}
         }
-        let Some((_, newest_allowing)) = self.allowing_versions(answer) else {
+        let Some((_, last)) = self.allowing_versions(answer) else {
             return Some(ViolationKind::Impossible);
         };
-        if newest_allowing < required && undisturbed {
+        if last < required && undisturbed {
             return Some(ViolationKind::Stale);
         }
-        if newest_allowing < required && answer.outcome == Outcome::NotFound {
+        if last < required && answer.outcome == Outcome::NotFound {
             return Some(ViolationKind::NotFound);
         }
-        (newest_allowing < newest_shown).then_some(ViolationKind::Regressed)
+        (last < newest_shown).then_some(ViolationKind::Regressed)
     }
 }
 
@@ -214,7 +214,7 @@
         });
         let newest_shown =
             newest_shown.filter_map(|(_, earlier)| record.allowing_versions(earlier));
-        let newest_shown = newest_shown.map(|(oldest, _)| oldest).max().unwrap_or(0);
+        let newest_shown = newest_shown.map(|(first, _)| first).max().unwrap_or(0);
         let Some(kind) = record.violation_kind(answer, newest_shown) else {
             continue;
         };
@@ -227,9 +227,7 @@
             kind,
             answer: *answer,
             elapsed: answer.sent.saturating_duration_since(first_acked),
-            allowed_by: record
-                .allowing_versions(answer)
-                .map_or(0, |(_, newest)| newest),
+            allowed_by: record.allowing_versions(answer).map_or(0, |(_, last)| last),
             required: required.map_or(0, |v| v.number),
             required_age: required.map_or(Duration::ZERO, |v| answer.sent - v.acked),
             uptime: start.map_or(Duration::ZERO, |s| answer.sent - s),
