--- a/crates/comfreyhall/tests/settings_soak/fleet.rs
+++ b/crates/comfreyhall/tests/settings_soak/fleet.rs
@@ -382,10 +382,10 @@
     /// long or fails.
     fn restart_if_stopped(&mut self, i: usize) {
         let daemon = &mut self.daemons[i];
-        let Some(stop_sent_at) = daemon.stop_sent else {
+        let Some(sent_at) = daemon.stop_sent else {
             return;
         };
-        let overdue = stop_sent_at.elapsed() > 2 * GRACE;
+        let overdue = sent_at.elapsed() > 2 * GRACE;
         let status = daemon.child.as_mut().unwrap().try_wait().unwrap();
         assert!(
             !overdue || status.is_some(),
@@ -398,7 +398,7 @@
         );
         daemon.stop_sent = None;
         self.launch(i);
-        let span = stop_sent_at..Instant::now();
+        let span = sent_at..Instant::now();
         let scope = Scope::Daemon(i);
         self.disturbances.push(Disturbance { scope, span });
     }
