--- a/crates/comfreyhall-catalog/tests/config_fuzz.rs
+++ b/crates/comfreyhall-catalog/tests/config_fuzz.rs
@@ -11,7 +11,7 @@
 use comfreyhall_catalog::{
     Catalog, CatalogError, Customer, Effects, Follower, Rows, Rule, Rules, Select, Terms, Version,
 };
-use comfreyhall_fakes::{FakeTable, Fate, Free, Steps, fates};
+use comfreyhall_fakes::{CallOutcome, FakeTable, StatelessReference, Steps, call_outcomes};
 use comfreyhall_protocol::SyncReply;
 use proptest::prelude::*;
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
@@ -27,16 +27,25 @@
     Apply {
         operator: usize,
         based: bool,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// `operator` adds a version to the one adapter.
-    AddVersion { operator: usize, fates: Vec<Fate> },
+    AddVersion {
+        operator: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// The oldest late commit of `operator` arrives.
     Deliver(usize),
     /// `daemon` polls the table.
-    Poll { daemon: usize, fates: Vec<Fate> },
+    Poll {
+        daemon: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// `daemon` resolves the adapter, from its cache or the table.
-    Resolve { daemon: usize, fates: Vec<Fate> },
+    Resolve {
+        daemon: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// `peer` writes down its news for `daemon`; they are on their way.
     Ask { daemon: usize, peer: usize },
     /// The news on their way to `daemon` arrive.
@@ -54,13 +63,13 @@
     fn steps() -> BoxedStrategy<Step> {
         let d = 0..DAEMONS;
         prop_oneof![
-            3 => (0..OPERATORS, any::<bool>(), fates(7))
+            3 => (0..OPERATORS, any::<bool>(), call_outcomes(7))
                 .prop_map(|(operator, based, fates)| Step::Apply { operator, based, fates }),
-            2 => (0..OPERATORS, fates(7))
+            2 => (0..OPERATORS, call_outcomes(7))
                 .prop_map(|(operator, fates)| Step::AddVersion { operator, fates }),
             2 => (0..OPERATORS).prop_map(Step::Deliver),
-            4 => (d.clone(), fates(7)).prop_map(|(daemon, fates)| Step::Poll { daemon, fates }),
-            2 => (d.clone(), fates(7)).prop_map(|(daemon, fates)| Step::Resolve { daemon, fates }),
+            4 => (d.clone(), call_outcomes(7)).prop_map(|(daemon, fates)| Step::Poll { daemon, fates }),
+            2 => (d.clone(), call_outcomes(7)).prop_map(|(daemon, fates)| Step::Resolve { daemon, fates }),
             2 => (d.clone(), d.clone()).prop_map(|(daemon, peer)| Step::Ask { daemon, peer }),
             2 => d.clone().prop_map(Step::Learn),
             1 => d.prop_map(Step::Restart),
@@ -132,14 +141,14 @@
         self.accepted.insert(config.version, name);
     }
 
-    fn apply_config(&mut self, operator: usize, based: bool, fates: Vec<Fate>) {
+    fn apply_config(&mut self, operator: usize, based: bool, fates: Vec<CallOutcome>) {
         self.changes += 1;
         let name = format!("r{}", self.changes);
         let op = &mut self.operators[operator];
         let base = based.then_some(op.seen);
         op.table.script(fates);
         let told = self.runtime.block_on(op.catalog.apply(&rules(&name), base));
-        op.table.heal();
+        op.table.clear_script();
         self.observe();
         match told {
             Ok(version) => {
@@ -167,7 +176,7 @@
         self.operators[operator].seen = now.version;
     }
 
-    fn add_version(&mut self, operator: usize, fates: Vec<Fate>) {
+    fn add_version(&mut self, operator: usize, fates: Vec<CallOutcome>) {
         self.changes += 1;
         let name = format!("v{}", self.changes);
         let op = &mut self.operators[operator];
@@ -179,7 +188,7 @@
         let told = self
             .runtime
             .block_on(op.catalog.add_version("narrator", version));
-        op.table.heal();
+        op.table.clear_script();
         let record = self
             .runtime
             .block_on(self.truth().adapter("narrator"))
@@ -193,12 +202,12 @@
         }
     }
 
-    fn poll(&mut self, daemon: usize, fates: Vec<Fate>) {
-        let sound = fates.iter().all(|f| *f == Fate::Answer);
+    fn poll(&mut self, daemon: usize, fates: Vec<CallOutcome>) {
+        let sound = fates.iter().all(|f| *f == CallOutcome::Answered);
         let d = &mut self.daemons[daemon];
         d.table.script(fates);
         let polled = self.runtime.block_on(d.follower.poll());
-        d.table.heal();
+        d.table.clear_script();
         assert!(polled.is_ok() || !sound);
         if polled.is_err() {
             return;
@@ -222,7 +231,7 @@
 
 impl StateMachineTest for System {
     type SystemUnderTest = System;
-    type Reference = Free<Run>;
+    type Reference = StatelessReference<Run>;
 
     fn init_test((): &()) -> System {
         let truth = FakeTable::default();
@@ -291,7 +300,7 @@
                 let d = &system.daemons[daemon];
                 d.table.script(fates);
                 let _ = system.runtime.block_on(d.follower.adapter("narrator"));
-                d.table.heal();
+                d.table.clear_script();
             }
             Step::Ask { daemon, peer } => {
                 let epoch = system.daemons[daemon].follower.epoch();
--- a/crates/comfreyhall-catalog/tests/follow.rs
+++ b/crates/comfreyhall-catalog/tests/follow.rs
@@ -72,7 +72,7 @@
         .await
         .unwrap();
     peer.poll().await.unwrap();
-    cut_off.script([comfreyhall_fakes::Fate::Unsent; 4]);
+    cut_off.script([comfreyhall_fakes::CallOutcome::Unsent; 4]);
     assert!(daemon.poll().await.is_err());
     daemon.learn(&peer.news(daemon.epoch()).await).unwrap();
     let record = daemon.adapter("narrator").await.unwrap();
--- a/crates/comfreyhall-fakes/src/lib.rs
+++ b/crates/comfreyhall-fakes/src/lib.rs
@@ -3,12 +3,12 @@
 //! Tests of what must hold under table faults need to choose, call by call,
 //! what becomes of a call: answered, never sent, applied with its answer
 //! lost, lost before it was applied, or applied only later, after newer
-//! calls. [`FakeTable`] takes the next [`Fate`] from its script (or
-//! [`Fate::Answer`] when the script is empty) and runs the rows of the
+//! calls. [`FakeTable`] takes the next [`CallOutcome`] from its script (or
+//! [`CallOutcome::Answered`] when the script is empty) and runs the rows of the
 //! table stand-in in process, so no test depends on timing.
 //!
-//! What stateful fuzz tests share is here too: [`fates`] draws scripts, and
-//! [`Free`] is the reference machine of runs whose steps are always possible.
+//! What stateful fuzz tests share is here too: [`call_outcomes`] draws scripts, and
+//! [`StatelessReference`] is the reference machine of runs whose steps are always possible.
 
 use std::{
     collections::VecDeque,
@@ -25,22 +25,22 @@
 
 /// What becomes of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// It takes effect and is answered.
-    Answer,
+    Answered,
     /// No connection: nothing is sent.
     Unsent,
     /// It never arrives, but the caller cannot know.
-    Lost,
+    RequestLost,
     /// It takes effect, but its answer is lost.
-    Unheard,
+    ReplyLost,
     /// It takes effect only when [`FakeTable::deliver`] lets it arrive.
-    Late,
+    Delayed,
 }
 
 #[derive(Default)]
 struct Script {
-    fates: VecDeque<Fate>,
+    fates: VecDeque<CallOutcome>,
     late: VecDeque<CommitRequest>,
 }
 
@@ -75,12 +75,12 @@
     }
 
     /// Adds fates for the calls to come.
-    pub fn script(&self, fates: impl IntoIterator<Item = Fate>) {
+    pub fn script(&self, fates: impl IntoIterator<Item = CallOutcome>) {
         self.script.lock().unwrap().fates.extend(fates);
     }
 
     /// Drops the rest of the script: calls are answered again.
-    pub fn heal(&self) {
+    pub fn clear_script(&self) {
         self.script.lock().unwrap().fates.clear();
     }
 
@@ -92,16 +92,18 @@
         }
     }
 
-    fn fate(&self) -> Fate {
+    fn next_outcome(&self) -> CallOutcome {
         let mut script = self.script.lock().unwrap();
-        script.fates.pop_front().unwrap_or(Fate::Answer)
+        script.fates.pop_front().unwrap_or(CallOutcome::Answered)
     }
 
     fn readable(&self) -> Result<(), CatalogError> {
-        match self.fate() {
-            Fate::Answer => Ok(()),
-            Fate::Unsent => Err(unreachable()),
-            Fate::Lost | Fate::Unheard | Fate::Late => Err(unavailable()),
+        match self.next_outcome() {
+            CallOutcome::Answered => Ok(()),
+            CallOutcome::Unsent => Err(unreachable()),
+            CallOutcome::RequestLost | CallOutcome::ReplyLost | CallOutcome::Delayed => {
+                Err(unavailable())
+            }
         }
     }
 }
@@ -119,18 +121,18 @@
 
     async fn commit(&self, checks: Vec<Check>, puts: Vec<Put>) -> Result<Vec<u64>, CatalogError> {
         let req = CommitRequest { checks, puts };
-        match self.fate() {
-            Fate::Unsent => return Err(unreachable()),
-            Fate::Lost => return Err(unavailable()),
-            Fate::Late => {
+        match self.next_outcome() {
+            CallOutcome::Unsent => return Err(unreachable()),
+            CallOutcome::RequestLost => return Err(unavailable()),
+            CallOutcome::Delayed => {
                 self.script.lock().unwrap().late.push_back(req);
                 return Err(unavailable());
             }
-            Fate::Unheard => {
+            CallOutcome::ReplyLost => {
                 self.table.write(req);
                 return Err(unavailable());
             }
-            Fate::Answer => {}
+            CallOutcome::Answered => {}
         }
         let reply = self.table.write(req);
         if reply.applied {
@@ -144,13 +146,13 @@
 }
 
 /// Fates of up to `most` calls in a row, most of them sound.
-pub fn fates(most: usize) -> impl Strategy<Value = Vec<Fate>> {
+pub fn call_outcomes(most: usize) -> impl Strategy<Value = Vec<CallOutcome>> {
     let fate = prop_oneof![
-        6 => Just(Fate::Answer),
-        1 => Just(Fate::Unsent),
-        1 => Just(Fate::Lost),
-        2 => Just(Fate::Unheard),
-        2 => Just(Fate::Late),
+        6 => Just(CallOutcome::Answered),
+        1 => Just(CallOutcome::Unsent),
+        1 => Just(CallOutcome::RequestLost),
+        2 => Just(CallOutcome::ReplyLost),
+        2 => Just(CallOutcome::Delayed),
     ];
     proptest::collection::vec(fate, 0..=most)
 }
@@ -166,9 +168,9 @@
 
 /// The reference machine of such a run. It keeps no state: what must hold is
 /// asserted by the system under test against its own oracle.
-pub struct Free<S>(PhantomData<S>);
+pub struct StatelessReference<S>(PhantomData<S>);
 
-impl<S: Steps> ReferenceStateMachine for Free<S> {
+impl<S: Steps> ReferenceStateMachine for StatelessReference<S> {
     type State = ();
     type Transition = S::Step;
 
--- a/crates/comfreyhall-lease/tests/lease_fuzz.rs
+++ b/crates/comfreyhall-lease/tests/lease_fuzz.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use comfreyhall_fakes::{FakeTable, Fate, Free, Steps, fates};
+use comfreyhall_fakes::{CallOutcome, FakeTable, StatelessReference, Steps, call_outcomes};
 use comfreyhall_lease::Lease;
 use proptest::prelude::*;
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
@@ -22,12 +22,15 @@
         process: usize,
         want: bool,
         takes_ms: u64,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// Time passes for everyone; who does not run meanwhile was paused.
     Wait(u64),
     /// A process gives the lease back.
-    Release { process: usize, fates: Vec<Fate> },
+    Release {
+        process: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// A process restarts.
     Restart(usize),
     /// The oldest late commit of a process arrives.
@@ -43,10 +46,10 @@
     fn steps() -> BoxedStrategy<Step> {
         let p = 0..PROCESSES;
         prop_oneof![
-            8 => (p.clone(), prop::bool::weighted(0.9), 0u64..300, fates(2))
+            8 => (p.clone(), prop::bool::weighted(0.9), 0u64..300, call_outcomes(2))
                 .prop_map(|(process, want, takes_ms, fates)| Step::Run { process, want, takes_ms, fates }),
             6 => (50u64..900).prop_map(Step::Wait),
-            1 => (p.clone(), fates(2))
+            1 => (p.clone(), call_outcomes(2))
                 .prop_map(|(process, fates)| Step::Release { process, fates }),
             1 => p.clone().prop_map(Step::Restart),
             3 => p.prop_map(Step::Deliver),
@@ -77,7 +80,7 @@
 
 impl StateMachineTest for System {
     type SystemUnderTest = System;
-    type Reference = Free<Run>;
+    type Reference = StatelessReference<Run>;
 
     fn init_test((): &()) -> System {
         let table = FakeTable::default();
@@ -109,14 +112,14 @@
                 };
                 let _ = system.runtime.block_on(p.lease.step(clock, want));
                 pass(takes_ms / 2);
-                p.table.heal();
+                p.table.clear_script();
             }
             Step::Wait(ms) => pass(ms),
             Step::Release { process, fates } => {
                 let p = &system.processes[process];
                 p.table.script(fates);
                 let _ = system.runtime.block_on(p.lease.release());
-                p.table.heal();
+                p.table.clear_script();
             }
             Step::Restart(i) => {
                 let table = system.processes[i].table.clone();
--- a/crates/comfreyhall-lease/tests/release.rs
+++ b/crates/comfreyhall-lease/tests/release.rs
@@ -6,7 +6,7 @@
 };
 
 use comfreyhall_catalog::{Rows, put};
-use comfreyhall_fakes::{FakeTable, Fate};
+use comfreyhall_fakes::{CallOutcome, FakeTable};
 use comfreyhall_lease::{Lease, leases_held_by};
 
 const TERM: Duration = Duration::from_millis(1_000);
@@ -39,7 +39,7 @@
     let old = lease(&table, "old");
     old.step(Instant::now, true).await.unwrap();
     let token = old.token(Instant::now());
-    table.script([Fate::Unsent]);
+    table.script([CallOutcome::Unsent]);
     assert!(old.release().await.is_err());
     assert_eq!(old.lapsed_token(), token);
 }
--- a/crates/comfreyhall-once/tests/once_fuzz.rs
+++ b/crates/comfreyhall-once/tests/once_fuzz.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use comfreyhall_catalog::CatalogError;
-use comfreyhall_fakes::{FakeTable, Fate, Free, Steps, fates};
+use comfreyhall_fakes::{CallOutcome, FakeTable, StatelessReference, Steps, call_outcomes};
 use comfreyhall_once::{Claim, ClaimOutcome, IdempotencyClaims, UnconfirmedClaim};
 use proptest::prelude::*;
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
@@ -24,17 +24,20 @@
     Ask {
         daemon: usize,
         key: usize,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// `daemon` goes on with what it holds of `key`.
     Go {
         daemon: usize,
         key: usize,
         act: Act,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// `daemon` gives back what it holds in doubt.
-    Abandon { daemon: usize, fates: Vec<Fate> },
+    Abandon {
+        daemon: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// `daemon` dies and comes back knowing nothing.
     Crash(usize),
     /// Late commits of `daemon` arrive.
@@ -61,11 +64,11 @@
     fn steps() -> BoxedStrategy<Step> {
         let act = prop_oneof![Just(Act::Run), Just(Act::RunUnheard), Just(Act::NotRun)];
         prop_oneof![
-            4 => (0..DAEMONS, 0..KEYS, fates(4))
+            4 => (0..DAEMONS, 0..KEYS, call_outcomes(4))
                 .prop_map(|(daemon, key, fates)| Step::Ask { daemon, key, fates }),
-            4 => (0..DAEMONS, 0..KEYS, act, fates(4))
+            4 => (0..DAEMONS, 0..KEYS, act, call_outcomes(4))
                 .prop_map(|(daemon, key, act, fates)| Step::Go { daemon, key, act, fates }),
-            2 => (0..DAEMONS, fates(4))
+            2 => (0..DAEMONS, call_outcomes(4))
                 .prop_map(|(daemon, fates)| Step::Abandon { daemon, fates }),
             1 => (0..DAEMONS).prop_map(Step::Crash),
             2 => (0..DAEMONS).prop_map(Step::Deliver),
@@ -91,13 +94,13 @@
 }
 
 impl System {
-    fn ask(&mut self, daemon: usize, key: usize, fates: Vec<Fate>) {
+    fn ask(&mut self, daemon: usize, key: usize, fates: Vec<CallOutcome>) {
         let d = &mut self.daemons[daemon];
         d.table.script(fates);
         let claimed = self
             .runtime
             .block_on(d.once.claim(&format!("k{key}"), "attempt"));
-        d.table.heal();
+        d.table.clear_script();
         match claimed {
             Ok(ClaimOutcome::Acquired(claim)) => {
                 assert!(
@@ -118,7 +121,7 @@
         }
     }
 
-    fn go(&mut self, daemon: usize, key: usize, act: Act, fates: Vec<Fate>) {
+    fn go(&mut self, daemon: usize, key: usize, act: Act, fates: Vec<CallOutcome>) {
         let d = &mut self.daemons[daemon];
         let Some(claim) = d.claims.remove(&key) else {
             return;
@@ -135,13 +138,13 @@
                 let _ = self.runtime.block_on(d.once.release(&claim));
             }
         }
-        d.table.heal();
+        d.table.clear_script();
     }
 }
 
 impl StateMachineTest for System {
     type SystemUnderTest = System;
-    type Reference = Free<Run>;
+    type Reference = StatelessReference<Run>;
 
     fn init_test((): &()) -> System {
         let table = FakeTable::default();
@@ -181,7 +184,7 @@
                 for doubt in std::mem::take(&mut d.doubts) {
                     let _ = system.runtime.block_on(d.once.release_unconfirmed(&doubt));
                 }
-                d.table.heal();
+                d.table.clear_script();
             }
             Step::Crash(daemon) => {
                 system.daemons[daemon].claims.clear();
@@ -230,7 +233,12 @@
     let table = FakeTable::default();
     let (first, second) = (table.client(), table.client());
     let first_once = IdempotencyClaims::new(first.clone(), "d0".into());
-    first.script([Fate::Unheard, Fate::Lost, Fate::Lost, Fate::Lost]);
+    first.script([
+        CallOutcome::ReplyLost,
+        CallOutcome::RequestLost,
+        CallOutcome::RequestLost,
+        CallOutcome::RequestLost,
+    ]);
     let claimed = runtime.block_on(first_once.claim("k", "a1")).unwrap();
     let ClaimOutcome::Unconfirmed(doubt, _) = claimed else {
         panic!("settled without an answer: {claimed:?}");
