--- a/crates/comfreyhall-fakes/src/lib.rs
+++ b/crates/comfreyhall-fakes/src/lib.rs
@@ -1,14 +1,15 @@
-//! An in-process table service whose every call has a scripted fate.
+//! An in-process table service whose call outcomes are scripted.
 //!
-//! Tests of what must hold under table faults need to choose, call by call,
-//! what becomes of a call: answered, never sent, applied with its answer
-//! lost, lost before it was applied, or applied only later, after newer
-//! calls. [`FakeTable`] takes the next [`CallOutcome`] from its script (or
-//! [`CallOutcome::Answered`] when the script is empty) and runs the rows of the
-//! table stand-in in process, so no test depends on timing.
+//! Tests of behaviour under table faults choose the outcome of each call:
+//! answered, never sent, applied with its reply lost, lost before it was
+//! applied, or applied only after newer calls. [`FakeTable`] takes the next
+//! [`CallOutcome`] from its script (or [`CallOutcome::Answered`] when the
+//! script is empty) and keeps its rows in an in-process [`TableStandin`], so
+//! no test depends on timing.
 //!
-//! What stateful fuzz tests share is here too: [`call_outcomes`] draws scripts, and
-//! [`StatelessReference`] is the reference machine of runs whose steps are always possible.
+//! The module also holds what the stateful fuzz tests share:
+//! [`call_outcomes`] generates scripts, and [`StatelessReference`] is the
+//! reference state machine of tests in which every step is always possible.
 
 use std::{
     collections::VecDeque,
@@ -23,29 +24,31 @@
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// What becomes of one call.
+/// The outcome of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It takes effect and is answered.
+    /// The call takes effect and is answered.
     Answered,
-    /// No connection: nothing is sent.
+    /// There is no connection, so nothing is sent.
     Unsent,
-    /// It never arrives, but the caller cannot know.
+    /// The request never arrives, but the caller cannot know that.
     RequestLost,
-    /// It takes effect, but its answer is lost.
+    /// The call takes effect, but its reply is lost.
     ReplyLost,
-    /// It takes effect only when [`FakeTable::deliver`] lets it arrive.
+    /// The call takes effect only when [`FakeTable::deliver`] applies it.
     Delayed,
 }
 
 #[derive(Default)]
 struct Script {
-    fates: VecDeque<CallOutcome>,
-    late: VecDeque<CommitRequest>,
+    outcomes: VecDeque<CallOutcome>,
+    /// Commits whose outcome was [`CallOutcome::Delayed`], oldest first.
+    delayed: VecDeque<CommitRequest>,
 }
 
-/// An in-process table service with scripted faults; clones share rows and
-/// script.
+/// An in-process table service with scripted faults.
+///
+/// Clones share both the rows and the script; see [`FakeTable::client`].
 #[derive(Clone, Default)]
 pub struct FakeTable {
     table: TableStandin,
@@ -66,7 +69,7 @@
 }
 
 impl FakeTable {
-    /// A client of the same rows with a script of its own, empty at first.
+    /// Returns a client of the same rows with its own, empty script.
     pub fn client(&self) -> Self {
         Self {
             table: self.table.clone(),
@@ -74,30 +77,32 @@
         }
     }
 
-    /// Adds fates for the calls to come.
-    pub fn script(&self, fates: impl IntoIterator<Item = CallOutcome>) {
-        self.script.lock().unwrap().fates.extend(fates);
+    /// Appends the outcomes of later calls to the script.
+    pub fn script(&self, outcomes: impl IntoIterator<Item = CallOutcome>) {
+        self.script.lock().unwrap().outcomes.extend(outcomes);
     }
 
-    /// Drops the rest of the script: calls are answered again.
+    /// Drops the rest of the script, so that calls are answered again.
     pub fn clear_script(&self) {
-        self.script.lock().unwrap().fates.clear();
+        self.script.lock().unwrap().outcomes.clear();
     }
 
-    /// Lets the oldest late commit arrive.
+    /// Applies the oldest delayed commit.
     pub fn deliver(&self) {
-        let late = self.script.lock().unwrap().late.pop_front();
-        if let Some(commit) = late {
+        let delayed = self.script.lock().unwrap().delayed.pop_front();
+        if let Some(commit) = delayed {
             self.table.write(commit);
         }
     }
 
     fn next_outcome(&self) -> CallOutcome {
         let mut script = self.script.lock().unwrap();
-        script.fates.pop_front().unwrap_or(CallOutcome::Answered)
+        script.outcomes.pop_front().unwrap_or(CallOutcome::Answered)
     }
 
-    fn readable(&self) -> Result<(), CatalogError> {
+    /// Takes the next outcome for a read. A read has no effect, so a lost request,
+    /// a lost reply and a delay are the same failure.
+    fn next_read(&self) -> Result<(), CatalogError> {
         match self.next_outcome() {
             CallOutcome::Answered => Ok(()),
             CallOutcome::Unsent => Err(unreachable()),
@@ -110,12 +115,12 @@
 
 impl Rows for FakeTable {
     async fn get(&self, key: &str) -> Result<Option<Row>, CatalogError> {
-        self.readable()?;
+        self.next_read()?;
         Ok(self.table.read(key))
     }
 
     async fn scan(&self, prefix: &str, after: &str, limit: u32) -> Result<Vec<Row>, CatalogError> {
-        self.readable()?;
+        self.next_read()?;
         Ok(self.table.list(prefix, after, limit))
     }
 
@@ -125,7 +130,7 @@
             CallOutcome::Unsent => return Err(unreachable()),
             CallOutcome::RequestLost => return Err(unavailable()),
             CallOutcome::Delayed => {
-                self.script.lock().unwrap().late.push_back(req);
+                self.script.lock().unwrap().delayed.push_back(req);
                 return Err(unavailable());
             }
             CallOutcome::ReplyLost => {
@@ -145,29 +150,31 @@
     }
 }
 
-/// Fates of up to `most` calls in a row, most of them sound.
-pub fn call_outcomes(most: usize) -> impl Strategy<Value = Vec<CallOutcome>> {
-    let fate = prop_oneof![
+/// Generates the outcomes of up to `max_calls` successive calls, half of them answered.
+pub fn call_outcomes(max_calls: usize) -> impl Strategy<Value = Vec<CallOutcome>> {
+    let outcome = prop_oneof![
         6 => Just(CallOutcome::Answered),
         1 => Just(CallOutcome::Unsent),
         1 => Just(CallOutcome::RequestLost),
         2 => Just(CallOutcome::ReplyLost),
         2 => Just(CallOutcome::Delayed),
     ];
-    proptest::collection::vec(fate, 0..=most)
+    proptest::collection::vec(outcome, 0..=max_calls)
 }
 
-/// The steps of a run in which every step is possible at any time.
+/// The steps of a test run in which every step is possible at any time.
 pub trait Steps: 'static {
-    /// One step.
+    /// A step of the run.
     type Step: Clone + Debug;
 
-    /// How steps are drawn.
+    /// Returns the strategy that generates steps.
     fn steps() -> BoxedStrategy<Self::Step>;
 }
 
-/// The reference machine of such a run. It keeps no state: what must hold is
-/// asserted by the system under test against its own oracle.
+/// The reference state machine of a run described by [`Steps`].
+///
+/// It keeps no state; the system under test asserts its invariants against
+/// its own oracle.
 pub struct StatelessReference<S>(PhantomData<S>);
 
 impl<S: Steps> ReferenceStateMachine for StatelessReference<S> {
--- a/crates/comfreyhall-standins/src/engine/load.rs
+++ b/crates/comfreyhall-standins/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load orders: fetch the weights, then take a slot.
+//! Load commands: fetch the weights, then allocate a slot.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 use tonic::Status;
 
 use super::{
-    EngineStandin, STEP,
+    EngineStandin, STEP_INTERVAL,
     state::{SlotState, State},
 };
 
-/// Longest fetched weights wait for a slot to be unpinned.
-const HOLD_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time that fetched weights wait for a slot to be unpinned.
+const MAX_SLOT_WAIT: Duration = Duration::from_secs(2);
 
-/// A load order being carried out.
-pub(super) struct Accepted {
+/// A load command that was accepted and is being executed.
+pub(super) struct AcceptedLoad {
     pub(super) order: LoadOrder,
     /// `adapter@version`.
     pub(super) key: String,
-    /// Value of the accept counter when the order arrived.
-    pub(super) arrived: u64,
-    /// Cold restarts before the order; a restart forgets it.
+    /// Value of [`State::accepted`] when the command arrived.
+    pub(super) arrival_count: u64,
+    /// Value of [`State::epoch`] when the command arrived; a cold restart
+    /// abandons the load.
     pub(super) epoch: u64,
     pub(super) start: Instant,
 }
 
 impl EngineStandin {
-    /// Carries out an accepted load order.
+    /// Executes an accepted load command.
     ///
-    /// The weights are fetched before any slot is taken. Taking the slot
-    /// first held it empty for the whole weight-store queue (seconds at
-    /// 3 loads/s), so requests found every slot "loading" and were refused;
-    /// now a victim keeps serving until the weights are here.
-    pub(super) async fn carry_out(&self, a: Accepted) -> LoadReply {
+    /// The weights are fetched before a slot is allocated, so that the evicted
+    /// adapter keeps serving until they have arrived. A slot allocated first
+    /// would stay empty for the whole queue of the weight store (seconds at
+    /// 3 loads/s), and requests that find every slot "loading" are refused.
+    pub(super) async fn execute_load(&self, load: AcceptedLoad) -> LoadReply {
         let fetch = FetchRequest {
-            adapter: a.order.adapter.clone(),
-            version: a.order.version.clone(),
+            adapter: load.order.adapter.clone(),
+            version: load.order.version.clone(),
         };
         let fetched = if self.inner.faults.load_fails() {
             Err(Status::internal("load failed by fault order"))
@@ -44,47 +45,55 @@
             self.inner.weights.clone().fetch(fetch).await.map(|_| ())
         };
         let answer = match fetched {
-            Err(e) => reply(false, "", e.message(), a.start),
-            Ok(()) => self.take_slot(&a).await,
+            Err(e) => reply(false, "", e.message(), load.start),
+            Ok(()) => self.wait_for_slot(&load).await,
         };
         let mut state = self.inner.state.lock().unwrap();
-        if state.epoch == a.epoch {
-            state.pending.remove(&a.key);
+        if state.epoch == load.epoch {
+            state.pending.remove(&load.key);
         }
         drop(state);
-        self.inner.loaded.notify_waiters();
-        log::debug!(target: "engine", "{} load of {}: {}", self.inner.id, a.key, answer.loaded);
+        self.inner.load_ended.notify_waiters();
+        log::debug!(
+            target: "engine",
+            "engine {} executed load of {}: loaded={}",
+            self.inner.id,
+            load.key,
+            answer.loaded
+        );
         answer
     }
 
-    /// Puts fetched weights into a slot, waiting a while for one to be
-    /// unpinned rather than throwing the weights away.
-    async fn take_slot(&self, a: &Accepted) -> LoadReply {
-        let fetched = Instant::now();
+    /// Puts fetched weights into a slot. If none may be taken, waits up to
+    /// [`MAX_SLOT_WAIT`] for one instead of discarding the weights.
+    async fn wait_for_slot(&self, load: &AcceptedLoad) -> LoadReply {
+        let fetched_at = Instant::now();
         loop {
             {
                 let mut state = self.inner.state.lock().unwrap();
-                if state.epoch != a.epoch {
-                    return reply(false, "", "the engine restarted; order again", a.start);
+                if state.epoch != load.epoch {
+                    return reply(false, "", "the engine restarted; order again", load.start);
                 }
                 let capacity = self.inner.capacity;
-                if let Some(evicted) = claim(&mut state, &a.order, a.arrived, capacity) {
-                    return reply(true, &evicted, "", a.start);
+                if let Some(evicted) =
+                    allocate_slot(&mut state, &load.order, load.arrival_count, capacity)
+                {
+                    return reply(true, &evicted, "", load.start);
                 }
             }
-            if fetched.elapsed() >= HOLD_LIMIT {
+            if fetched_at.elapsed() >= MAX_SLOT_WAIT {
                 return reply(
                     false,
                     "",
                     "every slot is pinned; try another engine",
-                    a.start,
+                    load.start,
                 );
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(STEP_INTERVAL).await;
         }
     }
 
-    /// Waits for another order's load of the same adapter to finish.
+    /// Waits for the load of the same adapter that an earlier command started.
     pub(super) async fn wait_loaded(
         &self,
         order: &LoadOrder,
@@ -92,7 +101,7 @@
         start: Instant,
     ) -> LoadReply {
         loop {
-            let notified = self.inner.loaded.notified();
+            let notified = self.inner.load_ended.notified();
             {
                 let mut state = self.inner.state.lock().unwrap();
                 if state.slot(&order.adapter, &order.version).is_some() {
@@ -107,47 +116,57 @@
     }
 }
 
-/// Takes a slot for a fetched adapter: a free one, or an evictable victim.
+/// Allocates a slot for a fetched adapter: a free one, or that of a victim,
+/// which is evicted.
+///
+/// The victims that the command names were chosen when it was sent, which can
+/// be seconds ago because of the weight store's queue. A named victim that has
+/// served a request since the command arrived (`arrival_count`) may have become
+/// hot and is skipped. The first unpinned named victim without a request since
+/// then is evicted. If there is none, the least recently used unpinned slot is
+/// evicted, unless the command allows only the named victims.
 ///
-/// The order's victims were chosen when it was sent, which can be seconds
-/// ago behind the weight store's queue. A named victim that served a request
-/// since the order `arrived` is no longer a good one: taking it evicted
-/// adapters that had become hot meanwhile. So the first named victim still
-/// unused since then goes; failing that, the least recently used unpinned
-/// slot, unless only named victims may go. Returns the evicted `adapter@version` (empty for a free slot), or
-/// `None` when every slot is pinned.
-fn claim(state: &mut State, order: &LoadOrder, arrived: u64, capacity: usize) -> Option<String> {
+/// Returns the evicted `adapter@version` (empty for a free slot), or `None`
+/// when no slot may be taken.
+fn allocate_slot(
+    state: &mut State,
+    order: &LoadOrder,
+    arrival_count: u64,
+    capacity: usize,
+) -> Option<String> {
     let mut evicted = String::new();
     if state.slots.len() >= capacity {
-        let idle = |s: &SlotState| s.pins == 0;
+        let unpinned = |s: &SlotState| s.pins == 0;
         let named = order.victims.iter().find_map(|v| {
             state.slots.iter().position(|s| {
-                idle(s) && s.used <= arrived && format!("{}@{}", s.adapter, s.version) == *v
+                unpinned(s)
+                    && s.last_used <= arrival_count
+                    && format!("{}@{}", s.adapter, s.version) == *v
             })
         });
-        let oldest = || {
-            let unpinned = state.slots.iter().enumerate().filter(|(_, s)| idle(s));
-            unpinned.min_by_key(|(_, s)| s.used).map(|(i, _)| i)
+        let least_recent = || {
+            let candidates = state.slots.iter().enumerate().filter(|(_, s)| unpinned(s));
+            candidates.min_by_key(|(_, s)| s.last_used).map(|(i, _)| i)
         };
         let victim = match order.only_named {
             true => named?,
-            false => named.or_else(oldest)?,
+            false => named.or_else(least_recent)?,
         };
-        let old = state.slots.swap_remove(victim);
+        let evicted_slot = state.slots.swap_remove(victim);
         assert!(
-            !state.in_use(&old),
+            !state.in_use(&evicted_slot),
             "evicted {}@{} while a request uses it",
-            old.adapter,
-            old.version
+            evicted_slot.adapter,
+            evicted_slot.version
         );
-        evicted = format!("{}@{}", old.adapter, old.version);
+        evicted = format!("{}@{}", evicted_slot.adapter, evicted_slot.version);
     }
-    let used = state.accepted;
+    let last_used = state.accepted;
     state.slots.push(SlotState {
         adapter: order.adapter.as_str().into(),
         version: order.version.as_str().into(),
         pins: 0,
-        used,
+        last_used,
     });
     Some(evicted)
 }
--- a/crates/comfreyhall-standins/src/engine/mod.rs
+++ b/crates/comfreyhall-standins/src/engine/mod.rs
@@ -1,14 +1,15 @@
 //! The model engine stand-in: adapter slots, pins and continuous batching.
 //!
-//! Every step (`STEP`) the engine takes up to `width` sequences, highest
-//! priority first, and gives each one token. A sequence pins its adapter's
-//! slot from the moment it is accepted until its last token is sent, it is
-//! cancelled, or its caller goes away; a pinned slot is never evicted.
+//! In each batch step (every `STEP_INTERVAL`) the engine runs up to `width`
+//! sequences, admitted by descending priority, and emits one token for each.
+//! A sequence pins its adapter's slot from its acceptance until its last token
+//! is sent, it is cancelled or its caller disconnects. A pinned slot is never
+//! evicted.
 //!
-//! Status is reported as it was up to [`REPORT_LAG`] ago, and a cold restart
-//! (a fault order) drops every slot and run, as the real engines do. The
-//! stand-in counts what it ran by request id; failure tests compare that
-//! record with what callers were told.
+//! The reported status is up to [`STATUS_INTERVAL`] old. A cold restart (set
+//! by a fault command) drops every slot and run, as in real engines. The
+//! stand-in counts what it ran by request id, and failure tests compare that
+//! record with the answers that callers received.
 
 mod load;
 mod state;
@@ -31,23 +32,23 @@
 use tonic::{Request, Response, Status, transport::Channel};
 
 use crate::{Faults, runs::Runs};
-use load::{Accepted, reply};
-use state::{Seq, State, step};
+use load::{AcceptedLoad, reply};
+use state::{Sequence, State, step};
 
-/// Time of one batch step.
-const STEP: Duration = Duration::from_millis(10);
+/// Time between two batch steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Age of the oldest status the engine reports.
-const REPORT_LAG: Duration = Duration::from_millis(50);
+/// Interval at which the reported status is refreshed.
+const STATUS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Chunks buffered per stream before a slow reader holds its sequence back.
+/// Chunks buffered per stream; when a slow reader fills the buffer, its sequence pauses.
 const STREAM_BUFFER: usize = 64;
 
-/// How long an engine that crashed is away.
-const AWAY: Duration = Duration::from_secs(1);
+/// Time that an engine is unavailable after a crash.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(1);
 
-/// Longest prompt the stand-in takes, in bytes.
-const MAX_PROMPT: usize = 64 << 10;
+/// Longest prompt that the stand-in accepts.
+const MAX_PROMPT_BYTES: usize = 64 << 10;
 
 struct Inner {
     id: Arc<str>,
@@ -55,35 +56,37 @@
     width: usize,
     fencing: bool,
     state: Mutex<State>,
-    loaded: Notify,
+    /// Notified when a load has ended or the engine has restarted.
+    load_ended: Notify,
     runs: Runs,
     weights: WeightsClient<Channel>,
     faults: Faults,
-    /// Text in a prompt that ends the engine; empty for none.
-    deadly: Arc<str>,
+    /// Text in a prompt that crashes the engine; empty for none.
+    crash_prompt: Arc<str>,
 }
 
-/// A model engine stand-in; clone it to share.
+/// A model engine stand-in; clones share its state.
 #[derive(Clone)]
 pub struct EngineStandin {
     inner: Arc<Inner>,
 }
 
 impl EngineStandin {
-    /// An engine with `capacity` slots and batch `width`, fetching weights
-    /// from the store at `weights` (`ip:port`), and its step loop started.
+    /// Starts an engine with `capacity` slots and batch `width`, which fetches
+    /// weights from the store at `weights` (`ip:port`).
     ///
-    /// A prompt that contains `deadly` ends it, unless that is empty.
+    /// A prompt that contains `crash_prompt` crashes the engine, unless
+    /// `crash_prompt` is empty.
     pub fn start(
         id: &str,
         capacity: u32,
         width: u32,
         fencing: bool,
         weights: &str,
-        deadly: Arc<str>,
+        crash_prompt: Arc<str>,
     ) -> Self {
         let channel = tonic::transport::Endpoint::from_shared(format!("http://{weights}"))
-            .expect("weights address was checked in settings")
+            .expect("the settings check validates the address of the weight store")
             .connect_lazy();
         let engine = Self {
             inner: Arc::new(Inner {
@@ -92,45 +95,47 @@
                 width: width as usize,
                 fencing,
                 state: Mutex::default(),
-                loaded: Notify::new(),
+                load_ended: Notify::new(),
                 runs: Runs::default(),
                 weights: WeightsClient::new(channel),
                 faults: Faults::default(),
-                deadly,
+                crash_prompt,
             }),
         };
         tokio::spawn(step_loop(engine.inner.clone()));
-        tokio::spawn(report_loop(engine.inner.clone()));
+        tokio::spawn(snapshot_loop(engine.inner.clone()));
         engine
     }
 
+    /// Records the fencing token of a command. With fencing enabled, rejects a
+    /// command whose token is older than one seen before.
     fn check_fence(&self, state: &mut State, fence: u64) -> Result<(), Status> {
-        if fence < state.fence && self.inner.fencing {
+        if fence < state.highest_fence && self.inner.fencing {
             return Err(not_run(Status::permission_denied(format!(
                 "fencing token {fence} is older than {}; the sender lost its lease",
-                state.fence
+                state.highest_fence
             ))));
         }
-        state.fence = state.fence.max(fence);
+        state.highest_fence = state.highest_fence.max(fence);
         Ok(())
     }
 }
 
 async fn step_loop(inner: Arc<Inner>) {
-    let mut tick = tokio::time::interval(STEP);
+    let mut tick = tokio::time::interval(STEP_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         let mut state = inner.state.lock().unwrap();
-        if step(&mut state, inner.width, &inner.runs, &inner.deadly) {
-            inner.faults.crash(AWAY);
-            inner.loaded.notify_waiters();
+        if step(&mut state, inner.width, &inner.runs, &inner.crash_prompt) {
+            inner.faults.crash(CRASH_DOWNTIME);
+            inner.load_ended.notify_waiters();
         }
     }
 }
 
-/// The engine's state as its status answers show it.
-fn report(state: &State, inner: &Inner) -> EngineStatus {
+/// Returns the engine's state in the form of a status reply.
+fn snapshot(state: &State, inner: &Inner) -> EngineStatus {
     let mut slots: Vec<Slot> = state
         .slots
         .iter()
@@ -141,8 +146,8 @@
             loading: false,
         })
         .collect();
-    // Pending loads are reported as loading slots so that every daemon
-    // joins them instead of ordering the same adapter again elsewhere.
+    // Pending loads are reported as loading slots, so that other daemons join
+    // them instead of loading the same adapter on another engine.
     for key in &state.pending {
         let (adapter, version) = key.split_once('@').unwrap_or((key, ""));
         slots.push(Slot {
@@ -159,18 +164,18 @@
         active: state.active.len() as u32,
         width: inner.width as u32,
         steps: state.steps,
-        used: state.used,
+        used: state.used_slots,
         epoch: state.epoch,
     }
 }
 
-async fn report_loop(inner: Arc<Inner>) {
-    let mut tick = tokio::time::interval(REPORT_LAG);
+async fn snapshot_loop(inner: Arc<Inner>) {
+    let mut tick = tokio::time::interval(STATUS_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         let mut state = inner.state.lock().unwrap();
-        state.report = report(&state, &inner);
+        state.snapshot = snapshot(&state, &inner);
     }
 }
 
@@ -182,25 +187,25 @@
         &self,
         req: Request<GenerateRequest>,
     ) -> Result<Response<Self::GenerateStream>, Status> {
-        self.inner.faults.gate().await?;
-        self.inner.faults.turn_away()?;
+        self.inner.faults.delay_or_fail().await?;
+        self.inner.faults.check_cooldown()?;
         let req = req.into_inner();
         let resumed = req.resume_from > 0;
         let id = req.request_id.clone();
         let accepted = self.accept(req).map(Response::new);
-        let mut rx = self.inner.faults.say(accepted)?.into_inner();
+        let mut rx = self.inner.faults.add_notices(accepted)?.into_inner();
         self.inner.runs.start(&id, resumed);
-        if self.inner.faults.loses_answer() {
-            // The run goes on to its end; only its answer is lost.
+        if self.inner.faults.loses_reply() {
+            // The run continues to completion; only its reply is lost.
             tokio::spawn(async move { while rx.recv().await.is_some() {} });
             return Err(Status::unavailable("answer lost by fault order"));
         }
         let reply = Response::new(ReceiverStream::new(rx));
-        self.inner.faults.say(Ok(reply))
+        self.inner.faults.add_notices(Ok(reply))
     }
 
     async fn cancel(&self, req: Request<CancelOrder>) -> Result<Response<CancelReply>, Status> {
-        self.inner.faults.gate().await?;
+        self.inner.faults.delay_or_fail().await?;
         let id = req.into_inner().request_id;
         let mut state = self.inner.state.lock().unwrap();
         let queued = state.queue.iter().position(|s| s.id == id);
@@ -219,12 +224,12 @@
     }
 
     async fn load(&self, req: Request<LoadOrder>) -> Result<Response<LoadReply>, Status> {
-        self.inner.faults.gate().await?;
-        self.inner.faults.turn_away()?;
+        self.inner.faults.delay_or_fail().await?;
+        self.inner.faults.check_cooldown()?;
         let order = req.into_inner();
         let start = Instant::now();
         let key = format!("{}@{}", order.adapter, order.version);
-        let (joined, arrived, epoch) = {
+        let (joined, arrival_count, epoch) = {
             let mut state = self.inner.state.lock().unwrap();
             self.check_fence(&mut state, order.fence)?;
             if state.slot(&order.adapter, &order.version).is_some() {
@@ -236,43 +241,43 @@
         if joined {
             return Ok(Response::new(self.wait_loaded(&order, &key, start).await));
         }
-        // An accepted order is carried out even if its sender dies: the call
-        // ends with the sender's connection, the order must not. Otherwise
-        // it stayed pending for good, and whoever joined it waited for good.
+        // The load runs in its own task, because the call ends when its sender
+        // dies and closes the connection. A load that ended with the call would
+        // stay pending forever, and so would every command that joined it.
         let engine = self.clone();
-        let accepted = Accepted {
+        let load = AcceptedLoad {
             order,
             key,
-            arrived,
+            arrival_count,
             epoch,
             start,
         };
-        let carried = tokio::spawn(async move { engine.carry_out(accepted).await });
-        let answer = carried
+        let task = tokio::spawn(async move { engine.execute_load(load).await });
+        let answer = task
             .await
             .map_err(|e| Status::internal(format!("load order failed: {e}")))?;
-        if self.inner.faults.loses_answer() {
+        if self.inner.faults.loses_reply() {
             return Err(Status::unavailable("answer lost by fault order"));
         }
         Ok(Response::new(answer))
     }
 
     async fn status(&self, _: Request<StatusQuery>) -> Result<Response<EngineStatus>, Status> {
-        self.inner.faults.gate().await?;
+        self.inner.faults.delay_or_fail().await?;
         let state = self.inner.state.lock().unwrap();
-        Ok(Response::new(state.report.clone()))
+        Ok(Response::new(state.snapshot.clone()))
     }
 
     async fn runs(&self, _: Request<RunsQuery>) -> Result<Response<RunsReply>, Status> {
-        let turned = self.inner.faults.turned();
-        Ok(Response::new(self.inner.runs.list(turned)))
+        let rejected = self.inner.faults.rejected();
+        Ok(Response::new(self.inner.runs.list(rejected)))
     }
 
     async fn fault(&self, req: Request<FaultOrder>) -> Result<Response<FaultReply>, Status> {
         self.inner.faults.set(req.get_ref());
         if req.get_ref().restart {
             self.inner.state.lock().unwrap().restart();
-            self.inner.loaded.notify_waiters();
+            self.inner.load_ended.notify_waiters();
         }
         Ok(Response::new(FaultReply {}))
     }
@@ -281,12 +286,12 @@
 impl EngineStandin {
     /// Accepts a request: pins its slot and queues it for the next step.
     ///
-    /// Every error is marked as not run.
+    /// Every error is marked as proof that the request did not run.
     fn accept(
         &self,
         req: GenerateRequest,
     ) -> Result<mpsc::Receiver<Result<GenerateChunk, Status>>, Status> {
-        if req.prompt.len() > MAX_PROMPT || req.max_tokens <= req.resume_from {
+        if req.prompt.len() > MAX_PROMPT_BYTES || req.max_tokens <= req.resume_from {
             return Err(not_run(Status::invalid_argument(
                 "prompt over 64 KiB or no tokens asked for",
             )));
@@ -301,15 +306,15 @@
             ))));
         };
         slot.pins += 1;
-        slot.used = accepted;
-        let seq = Seq {
+        slot.last_used = accepted;
+        let seq = Sequence {
             id: req.request_id,
             adapter: slot.adapter.clone(),
             version: slot.version.clone(),
             prompt: req.prompt,
             priority: req.priority,
-            next: req.resume_from,
-            total: req.max_tokens,
+            next_token: req.resume_from,
+            end_token: req.max_tokens,
             tx,
         };
         state.accepted = accepted;
--- a/crates/comfreyhall-standins/src/engine/state.rs
+++ b/crates/comfreyhall-standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and its batch step.
+//! The engine's state and its batch step.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -8,68 +8,76 @@
 
 use crate::{runs::Runs, text::token};
 
+/// An adapter slot that is in use.
 pub(super) struct SlotState {
     pub(super) adapter: Arc<str>,
     pub(super) version: Arc<str>,
     pub(super) pins: u32,
-    /// Value of the accept counter when a request last used the slot.
-    pub(super) used: u64,
+    /// Value of [`State::accepted`] when a request last used the slot, or when
+    /// the adapter was loaded.
+    pub(super) last_used: u64,
 }
 
 impl SlotState {
-    pub(super) fn is(&self, adapter: &str, version: &str) -> bool {
+    pub(super) fn matches(&self, adapter: &str, version: &str) -> bool {
         &*self.adapter == adapter && &*self.version == version
     }
 }
 
-pub(super) struct Seq {
+/// A request that is queued or running in the batch.
+pub(super) struct Sequence {
     pub(super) id: String,
     pub(super) adapter: Arc<str>,
     pub(super) version: Arc<str>,
     pub(super) prompt: String,
     pub(super) priority: i32,
-    pub(super) next: u32,
-    pub(super) total: u32,
+    /// Index of the next token to send.
+    pub(super) next_token: u32,
+    /// Index after the last token, counted from the start of the answer.
+    pub(super) end_token: u32,
     pub(super) tx: mpsc::Sender<Result<GenerateChunk, Status>>,
 }
 
 #[derive(Default)]
 pub(super) struct State {
     pub(super) slots: Vec<SlotState>,
-    pub(super) queue: VecDeque<Seq>,
-    pub(super) active: Vec<Seq>,
+    pub(super) queue: VecDeque<Sequence>,
+    pub(super) active: Vec<Sequence>,
+    /// Batch steps that ran at least one sequence.
     pub(super) steps: u64,
-    pub(super) used: u64,
-    /// Highest fencing token seen on an order.
-    pub(super) fence: u64,
-    /// `adapter@version` of loads waiting for weights; they hold no slot.
+    /// Sum over all steps of the sequences in the batch.
+    pub(super) used_slots: u64,
+    /// Highest fencing token seen on a command.
+    pub(super) highest_fence: u64,
+    /// `adapter@version` of the loads in progress; they occupy no slot yet.
     pub(super) pending: rustc_hash::FxHashSet<String>,
-    /// Requests accepted so far; the engine's clock for slot use.
+    /// Requests accepted so far; serves as the clock for the last use of slots.
     pub(super) accepted: u64,
-    /// Counts cold restarts.
+    /// Number of cold restarts.
     pub(super) epoch: u64,
-    /// What status answers say: the state as of the last report.
-    pub(super) report: EngineStatus,
+    /// The last periodic snapshot of the state, which status calls return.
+    pub(super) snapshot: EngineStatus,
 }
 
 impl State {
     pub(super) fn slot(&mut self, adapter: &str, version: &str) -> Option<&mut SlotState> {
-        self.slots.iter_mut().find(|s| s.is(adapter, version))
+        self.slots.iter_mut().find(|s| s.matches(adapter, version))
     }
 
     /// Whether a queued or running sequence uses `slot`.
     pub(super) fn in_use(&self, slot: &SlotState) -> bool {
-        let mut seqs = self.queue.iter().chain(&self.active);
-        seqs.any(|q| slot.is(&q.adapter, &q.version))
+        let mut sequences = self.queue.iter().chain(&self.active);
+        sequences.any(|s| slot.matches(&s.adapter, &s.version))
     }
 
-    /// Forgets everything, as an engine that crashed and came back.
+    /// Drops everything except the counts of restarts, steps and used slots, as
+    /// an engine does that crashes and starts again.
     pub(super) fn restart(&mut self) {
-        let (epoch, steps, used) = (self.epoch + 1, self.steps, self.used);
+        let (epoch, steps, used_slots) = (self.epoch + 1, self.steps, self.used_slots);
         *self = Self {
             epoch,
             steps,
-            used,
+            used_slots,
             ..Self::default()
         };
     }
@@ -81,10 +89,11 @@
     }
 }
 
-/// Runs one batch step: admit by priority, emit one token per sequence.
+/// Runs one batch step: admits sequences by priority and emits one token for each.
 ///
-/// Whether the engine ends in it: it has begun a prompt that contains `deadly`.
-pub(super) fn step(state: &mut State, width: usize, runs: &Runs, deadly: &str) -> bool {
+/// Returns whether the engine crashed in this step, which happens when it
+/// starts a prompt that contains `crash_prompt` (if that is not empty).
+pub(super) fn step(state: &mut State, width: usize, runs: &Runs, crash_prompt: &str) -> bool {
     while state.active.len() < width {
         let best = state
             .queue
@@ -93,7 +102,7 @@
             .max_by_key(|(i, s)| (s.priority, std::cmp::Reverse(*i)))
             .map(|(i, _)| i);
         match best.and_then(|i| state.queue.remove(i)) {
-            Some(seq) if !deadly.is_empty() && seq.prompt.contains(deadly) => {
+            Some(seq) if !crash_prompt.is_empty() && seq.prompt.contains(crash_prompt) => {
                 state.restart();
                 return true;
             }
@@ -105,11 +114,11 @@
         return false;
     }
     state.steps += 1;
-    state.used += state.active.len() as u64;
+    state.used_slots += state.active.len() as u64;
     let mut finished = Vec::new();
     for (i, seq) in state.active.iter_mut().enumerate() {
-        let index = seq.next;
-        let done = index + 1 == seq.total;
+        let index = seq.next_token;
+        let done = index + 1 == seq.end_token;
         let chunk = GenerateChunk {
             request_id: seq.id.clone(),
             adapter: seq.adapter.to_string(),
@@ -121,15 +130,15 @@
         };
         match seq.tx.try_send(Ok(chunk)) {
             Ok(()) => {
-                seq.next += 1;
+                seq.next_token += 1;
                 if done {
                     runs.end(&seq.id);
                     finished.push(i);
                 }
             }
-            // A slow reader: keep the token for the next step.
+            // The reader is slow: the token is sent again in the next step.
             Err(mpsc::error::TrySendError::Full(_)) => {}
-            // The caller went away: the sequence ends and unpins its slot.
+            // The caller disconnected: the sequence ends and unpins its slot.
             Err(mpsc::error::TrySendError::Closed(_)) => finished.push(i),
         }
     }
--- a/crates/comfreyhall-standins/src/faults.rs
+++ b/crates/comfreyhall-standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault switches shared by every stand-in.
+//! Fault switches that every stand-in has.
 
 use std::{
     sync::{
@@ -11,7 +11,7 @@
 use comfreyhall_protocol::{FaultOrder, not_run, notice};
 use tonic::{Response, Status, metadata::MetadataMap};
 
-/// The fault switches of one stand-in, changed by its `Fault` call.
+/// The fault switches of one stand-in, set through its `Fault` call.
 #[derive(Clone, Default)]
 pub struct Faults {
     inner: Arc<Switches>,
@@ -21,77 +21,79 @@
 struct Switches {
     down: AtomicBool,
     delay_ms: AtomicU64,
-    /// Share of answers that are lost, in millionths.
+    /// Share of replies that are lost, in millionths.
     lose_ppm: AtomicU64,
     /// Share of adapter loads that fail, in millionths.
     fail_ppm: AtomicU64,
-    /// Until when the process is away after a crash.
-    away: Mutex<Option<Instant>>,
-    says: Mutex<Says>,
-    /// Calls turned away with a rest.
-    turned: AtomicU64,
+    /// When the process is back after its last crash.
+    back_at: Mutex<Option<Instant>>,
+    notices: Mutex<Notices>,
+    /// Calls rejected with a cooldown.
+    rejected: AtomicU64,
 }
 
-/// What the stand-in says of itself.
+/// What the stand-in announces about itself in the metadata of its replies.
 #[derive(Clone, Copy, Default)]
-struct Says {
-    /// Requests a second; 0 for no limit.
+struct Notices {
+    /// Requests per second that it announces as its limit; 0 for no limit.
     limit: f64,
-    /// Seconds of rest asked of those whom it turns away; 0 for none.
-    rest_s: f64,
-    leaving: bool,
+    /// Cooldown asked of every rejected caller, in seconds; 0 rejects nobody.
+    cooldown_s: f64,
+    draining: bool,
 }
 
-impl Says {
-    fn add(self, metadata: &mut MetadataMap) {
+impl Notices {
+    fn write_to(self, metadata: &mut MetadataMap) {
         let mut put = |name: &'static str, value: String| {
-            let value = value.parse().expect("numbers are metadata");
+            let value = value.parse().expect("a number is valid metadata");
             metadata.insert(name, value);
         };
         if self.limit > 0.0 {
             put(notice::LIMIT, self.limit.to_string());
         }
-        if self.leaving {
+        if self.draining {
             put(notice::LEAVING, "1".to_string());
         }
     }
 }
 
 impl Faults {
-    /// Sets every switch from an order.
+    /// Sets every switch as `order` says.
     pub fn set(&self, order: &FaultOrder) {
-        let s = &self.inner;
-        s.down.store(order.down, Ordering::Relaxed);
-        s.delay_ms.store(order.delay_ms, Ordering::Relaxed);
-        let lose = match order.lose_share {
+        let switches = &self.inner;
+        switches.down.store(order.down, Ordering::Relaxed);
+        switches.delay_ms.store(order.delay_ms, Ordering::Relaxed);
+        let lost_share = match order.lose_share {
             _ if !order.lose_answers => 0.0,
             0.0 => 1.0,
             share => share,
         };
-        s.lose_ppm.store(ppm(lose), Ordering::Relaxed);
-        s.fail_ppm.store(ppm(order.fail_share), Ordering::Relaxed);
-        *s.says.lock().unwrap() = Says {
+        switches.lose_ppm.store(ppm(lost_share), Ordering::Relaxed);
+        switches
+            .fail_ppm
+            .store(ppm(order.fail_share), Ordering::Relaxed);
+        *switches.notices.lock().unwrap() = Notices {
             limit: order.limit,
-            rest_s: order.rest_s,
-            leaving: order.leaving,
+            cooldown_s: order.rest_s,
+            draining: order.leaving,
         };
     }
 
-    /// The process crashes and is back after `pause`.
-    pub fn crash(&self, pause: Duration) {
-        *self.inner.away.lock().unwrap() = Some(Instant::now() + pause);
+    /// Simulates a crash: calls fail until `downtime` has passed.
+    pub fn crash(&self, downtime: Duration) {
+        *self.inner.back_at.lock().unwrap() = Some(Instant::now() + downtime);
     }
 
-    /// Whether the process is away after a crash.
-    fn away(&self) -> bool {
-        let away = *self.inner.away.lock().unwrap();
-        away.is_some_and(|until| Instant::now() < until)
+    /// Whether the process has crashed and is not back yet.
+    fn crashed(&self) -> bool {
+        let back_at = *self.inner.back_at.lock().unwrap();
+        back_at.is_some_and(|at| Instant::now() < at)
     }
 
-    /// Waits out the set delay, then fails if the stand-in is down.
-    pub async fn gate(&self) -> Result<(), Status> {
-        if self.away() {
-            // Nobody listens: no call gets as far as being run.
+    /// Waits for the configured delay, then fails if the stand-in is down.
+    pub async fn delay_or_fail(&self) -> Result<(), Status> {
+        if self.crashed() {
+            // No process is listening, so the call has certainly not run.
             return Err(not_run(Status::unavailable("the process has crashed")));
         }
         let delay = self.inner.delay_ms.load(Ordering::Relaxed);
@@ -104,52 +106,56 @@
         Ok(())
     }
 
-    /// Turns a call away if it asks for rest.
-    pub fn turn_away(&self) -> Result<(), Status> {
-        let says = *self.inner.says.lock().unwrap();
-        if says.rest_s <= 0.0 {
+    /// Rejects the call if a cooldown is set.
+    pub fn check_cooldown(&self) -> Result<(), Status> {
+        let notices = *self.inner.notices.lock().unwrap();
+        if notices.cooldown_s <= 0.0 {
             return Ok(());
         }
-        self.inner.turned.fetch_add(1, Ordering::Relaxed);
+        self.inner.rejected.fetch_add(1, Ordering::Relaxed);
         let mut status = not_run(Status::unavailable("turned away by fault order"));
-        says.add(status.metadata_mut());
-        let rest = says.rest_s.to_string();
-        let rest = rest.parse().expect("numbers are metadata");
-        status.metadata_mut().insert(notice::REST, rest);
+        notices.write_to(status.metadata_mut());
+        let cooldown = notices.cooldown_s.to_string();
+        let cooldown = cooldown.parse().expect("a number is valid metadata");
+        status.metadata_mut().insert(notice::REST, cooldown);
         Err(status)
     }
 
-    /// Calls turned away so far.
-    pub fn turned(&self) -> u64 {
-        self.inner.turned.load(Ordering::Relaxed)
+    /// Returns how many calls were rejected so far.
+    pub fn rejected(&self) -> u64 {
+        self.inner.rejected.load(Ordering::Relaxed)
     }
 
-    /// The answer with what the stand-in says of itself.
-    pub fn say<T>(&self, mut answer: Result<Response<T>, Status>) -> Result<Response<T>, Status> {
-        let says = *self.inner.says.lock().unwrap();
+    /// Adds the stand-in's notices to the metadata of `answer`.
+    pub fn add_notices<T>(
+        &self,
+        mut answer: Result<Response<T>, Status>,
+    ) -> Result<Response<T>, Status> {
+        let notices = *self.inner.notices.lock().unwrap();
         match &mut answer {
-            Ok(reply) => says.add(reply.metadata_mut()),
-            Err(status) => says.add(status.metadata_mut()),
+            Ok(reply) => notices.write_to(reply.metadata_mut()),
+            Err(status) => notices.write_to(status.metadata_mut()),
         }
         answer
     }
 
-    /// Whether a write that took effect should lose its answer.
-    pub fn loses_answer(&self) -> bool {
+    /// Draws whether the reply to a call that took effect is lost.
+    pub fn loses_reply(&self) -> bool {
         chance(self.inner.lose_ppm.load(Ordering::Relaxed))
     }
 
-    /// Whether this adapter load should fail.
+    /// Draws whether this adapter load fails.
     pub fn load_fails(&self) -> bool {
         chance(self.inner.fail_ppm.load(Ordering::Relaxed))
     }
 }
 
-/// A share from 0 to 1 in millionths.
+/// Converts a share from 0 to 1 into millionths.
 fn ppm(share: f64) -> u64 {
     (share.clamp(0.0, 1.0) * 1e6) as u64
 }
 
+/// Returns true with a probability of `ppm` millionths.
 fn chance(ppm: u64) -> bool {
     ppm > 0 && rand::random_range(0..1_000_000) < ppm
 }
--- a/crates/comfreyhall-standins/src/instances.rs
+++ b/crates/comfreyhall-standins/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instance list stand-in: live and leaving instances, as of a while ago.
+//! The instance list stand-in: live and draining instances, reported with a delay.
 
 use std::{
     collections::VecDeque,
@@ -15,20 +15,25 @@
 
 use crate::Faults;
 
-/// How long a mark takes to show in the list.
-const LAG: Duration = Duration::from_millis(800);
+/// Time until a mark takes effect in the list.
+const LIST_DELAY: Duration = Duration::from_millis(800);
 
 #[derive(Default)]
 struct State {
     listed: Vec<Listed>,
-    /// Marks that do not show yet, oldest first.
-    marks: VecDeque<(Instant, MarkOrder)>,
+    /// Marks that have not taken effect yet, oldest first.
+    pending: VecDeque<(Instant, MarkOrder)>,
 }
 
 impl State {
-    fn settle(&mut self) {
-        while self.marks.front().is_some_and(|m| m.0.elapsed() >= LAG) {
-            let Some((_, mark)) = self.marks.pop_front() else {
+    /// Applies the marks that are at least [`LIST_DELAY`] old.
+    fn apply_due(&mut self) {
+        while self
+            .pending
+            .front()
+            .is_some_and(|m| m.0.elapsed() >= LIST_DELAY)
+        {
+            let Some((_, mark)) = self.pending.pop_front() else {
                 return;
             };
             self.listed.retain(|l| l.id != mark.id);
@@ -42,7 +47,7 @@
     }
 }
 
-/// A list of instances that shows each change [`LAG`] late.
+/// A list of instances that shows each change [`LIST_DELAY`] late.
 #[derive(Clone, Default)]
 pub struct InstancesStandin {
     state: Arc<Mutex<State>>,
@@ -50,7 +55,7 @@
 }
 
 impl InstancesStandin {
-    /// A list that starts with `ids`, all live.
+    /// Creates a list of `ids`, all of them live.
     pub fn new(ids: impl IntoIterator<Item = String>) -> Self {
         let list = Self::default();
         list.state.lock().unwrap().listed = ids
@@ -64,9 +69,9 @@
 #[tonic::async_trait]
 impl Instances for InstancesStandin {
     async fn list(&self, _: Request<ListQuery>) -> Result<Response<ListReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let mut state = self.state.lock().unwrap();
-        state.settle();
+        state.apply_due();
         Ok(Response::new(ListReply {
             instances: state.listed.clone(),
         }))
@@ -74,7 +79,7 @@
 
     async fn mark(&self, req: Request<MarkOrder>) -> Result<Response<MarkReply>, Status> {
         let mark = (Instant::now(), req.into_inner());
-        self.state.lock().unwrap().marks.push_back(mark);
+        self.state.lock().unwrap().pending.push_back(mark);
         Ok(Response::new(MarkReply {}))
     }
 
--- a/crates/comfreyhall-standins/src/lib.rs
+++ b/crates/comfreyhall-standins/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins for the platform comfreyhall runs on.
+//! Stand-ins for the platform that comfreyhall runs on.
 //!
-//! The real deployment meets model engines, plain services, a rate-limited
+//! A real deployment uses model engines, plain services, a rate-limited
 //! weight store, a transactional table service, an object store and a list
-//! of instances that lags. On loopback and in tests these small servers take
-//! their place. They speak the gRPC services of `comfreyhall-protocol`,
-//! behave like the brief says the real ones do (engines batch continuously
-//! with a few adapter slots, the weight store allows a few loads a second one
-//! at a time, the table service commits conditionally), and each can be told
-//! through its `Fault` call to be down, slow, to lose answers or to fail
-//! loads, so failure tests can drive them.
+//! of instances that lags. On loopback and in tests these small servers
+//! replace them. They serve the gRPC services of `comfreyhall-protocol` and
+//! behave as the real ones are specified: engines batch continuously and
+//! have a few adapter slots, the weight store allows a few loads per second,
+//! one at a time, and the table service commits conditionally. The `Fault`
+//! call of each stand-in makes it unavailable or slow, or makes it lose
+//! replies or fail loads, so that tests can inject failures.
 
 mod engine;
 mod faults;
@@ -39,14 +39,14 @@
 use futures::future::BoxFuture;
 use tonic::{service::Routes, transport::Server};
 
-/// Keepalive period of the stand-ins' connections.
+/// Interval and timeout of HTTP/2 keepalives on the stand-ins' connections.
 ///
-/// A daemon whose machine is gone sends no reset: without keepalives its
-/// runs would keep their slots pinned for good.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+/// A daemon whose machine is lost does not reset its connections. Without
+/// keepalives its runs would pin their slots forever.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One stand-in server, running until its stop future resolves.
-pub type Serving = BoxFuture<'static, Result<(), tonic::transport::Error>>;
+/// A stand-in server, which runs until its stop future resolves.
+pub type ServerFuture = BoxFuture<'static, Result<(), tonic::transport::Error>>;
 
 /// Serves `routes` on `addr` until `stop` resolves.
 pub async fn serve(
@@ -55,14 +55,14 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     Server::builder()
-        .http2_keepalive_interval(Some(KEEPALIVE))
-        .http2_keepalive_timeout(Some(KEEPALIVE))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL))
         .add_routes(routes)
         .serve_with_shutdown(addr, stop)
         .await
 }
 
-/// Serves a fresh table stand-in on `addr` until `stop` resolves.
+/// Serves a new, empty table stand-in on `addr` until `stop` resolves.
 pub async fn serve_table(
     addr: SocketAddr,
     stop: impl Future<Output = ()>,
@@ -71,50 +71,58 @@
     serve(addr, Routes::new(table), stop).await
 }
 
-/// Every stand-in of a deployment that `wanted` names, ready to be awaited.
+/// Creates the servers of those stand-ins of a deployment whose names `wanted` accepts.
 ///
-/// Names are `table`, `weights`, `objects`, `instances` and the ids of
-/// engines and plain services. Must be called inside a tokio runtime.
+/// The names are `table`, `weights`, `objects`, `instances` and the ids of
+/// engines and plain services. Must be called within a tokio runtime.
 pub fn deployment<S>(
-    s: &Settings,
+    settings: &Settings,
     wanted: impl Fn(&str) -> bool,
     stop: impl Fn() -> S,
-) -> Vec<Serving>
+) -> Vec<ServerFuture>
 where
     S: Future<Output = ()> + Send + 'static,
 {
-    let mut all: Vec<Serving> = Vec::new();
+    let mut servers: Vec<ServerFuture> = Vec::new();
     let mut add = |name: &str, addr: &str, routes: &dyn Fn() -> Routes| {
         if wanted(name) {
-            all.push(Box::pin(serve(socket(addr), routes(), stop())));
+            servers.push(Box::pin(serve(socket(addr), routes(), stop())));
         }
     };
-    let p = &s.platform;
-    add("table", &p.table, &|| {
+    let platform = &settings.platform;
+    add("table", &platform.table, &|| {
         Routes::new(TableServer::new(TableStandin::default()))
     });
-    add("weights", &p.weights, &|| {
-        Routes::new(WeightsServer::new(WeightsStandin::new(p.loads_per_sec)))
+    add("weights", &platform.weights, &|| {
+        Routes::new(WeightsServer::new(WeightsStandin::new(
+            platform.loads_per_sec,
+        )))
     });
-    add("objects", &p.objects, &|| {
+    add("objects", &platform.objects, &|| {
         Routes::new(ObjectsServer::new(ObjectsStandin::default()))
     });
-    add("instances", &p.instances, &|| {
-        let ids = s.instances.iter().map(|i| i.id.to_string());
+    add("instances", &platform.instances, &|| {
+        let ids = settings.instances.iter().map(|i| i.id.to_string());
         Routes::new(InstancesServer::new(InstancesStandin::new(ids)))
     });
-    for e in &s.engines {
-        add(&e.id, &e.listen, &|| {
-            let deadly = p.deadly_prompt.clone();
-            let engine =
-                EngineStandin::start(&e.id, e.slots, e.width, e.fencing, &p.weights, deadly);
-            Routes::new(EngineServer::new(engine))
+    for engine in &settings.engines {
+        add(&engine.id, &engine.listen, &|| {
+            let crash_prompt = platform.deadly_prompt.clone();
+            let standin = EngineStandin::start(
+                &engine.id,
+                engine.slots,
+                engine.width,
+                engine.fencing,
+                &platform.weights,
+                crash_prompt,
+            );
+            Routes::new(EngineServer::new(standin))
         });
     }
-    for v in &s.services {
-        add(&v.id, &v.listen, &|| {
+    for service in &settings.services {
+        add(&service.id, &service.listen, &|| {
             Routes::new(PlainServer::new(PlainStandin::default()))
         });
     }
-    all
+    servers
 }
--- a/crates/comfreyhall-standins/src/objects.rs
+++ b/crates/comfreyhall-standins/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store stand-in: whole objects by key, no conditions.
+//! The object store stand-in: whole objects by key, with unconditional writes.
 
 use std::sync::{Arc, Mutex};
 
@@ -23,10 +23,10 @@
         &self,
         req: Request<PutObjectRequest>,
     ) -> Result<Response<PutObjectReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let req = req.into_inner();
         self.objects.lock().unwrap().insert(req.key, req.value);
-        if self.faults.loses_answer() {
+        if self.faults.loses_reply() {
             return Err(Status::unavailable("answer lost by fault order"));
         }
         Ok(Response::new(PutObjectReply {}))
@@ -36,7 +36,7 @@
         &self,
         req: Request<GetObjectRequest>,
     ) -> Result<Response<GetObjectReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let found = self
             .objects
             .lock()
--- a/crates/comfreyhall-standins/src/plain.rs
+++ b/crates/comfreyhall-standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: calls that may not be repeated.
+//! The plain service stand-in, whose calls must not be repeated.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::{Faults, runs::Runs};
 
-/// Time one call takes.
-const WORK: Duration = Duration::from_millis(20);
+/// Time that one call takes.
+const CALL_DURATION: Duration = Duration::from_millis(20);
 
-/// A plain service that echoes each call and counts it by request id.
+/// A plain service that echoes each call and counts its runs by request id.
 #[derive(Clone, Default)]
 pub struct PlainStandin {
     runs: Runs,
@@ -22,24 +22,24 @@
 #[tonic::async_trait]
 impl Plain for PlainStandin {
     async fn call(&self, req: Request<CallRequest>) -> Result<Response<CallReply>, Status> {
-        self.faults.gate().await?;
-        self.faults.turn_away()?;
+        self.faults.delay_or_fail().await?;
+        self.faults.check_cooldown()?;
         let req = req.into_inner();
         self.runs.start(&req.request_id, false);
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(CALL_DURATION).await;
         self.runs.end(&req.request_id);
-        if self.faults.loses_answer() {
+        if self.faults.loses_reply() {
             return Err(Status::unavailable("answer lost by fault order"));
         }
         let reply = Response::new(CallReply {
             request_id: req.request_id,
             body: req.body,
         });
-        self.faults.say(Ok(reply))
+        self.faults.add_notices(Ok(reply))
     }
 
     async fn runs(&self, _: Request<RunsQuery>) -> Result<Response<RunsReply>, Status> {
-        Ok(Response::new(self.runs.list(self.faults.turned())))
+        Ok(Response::new(self.runs.list(self.faults.rejected())))
     }
 
     async fn fault(&self, req: Request<FaultOrder>) -> Result<Response<FaultReply>, Status> {
--- a/crates/comfreyhall-standins/src/runs.rs
+++ b/crates/comfreyhall-standins/src/runs.rs
@@ -1,4 +1,4 @@
-//! What a stand-in ran, by request id: the oracle of failure tests.
+//! Record of what a stand-in ran, by request id: the oracle of failure tests.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,7 +11,7 @@
 }
 
 impl Runs {
-    fn with(&self, id: &str, change: impl FnOnce(&mut Run)) {
+    fn update(&self, id: &str, change: impl FnOnce(&mut Run)) {
         let mut runs = self.inner.lock().unwrap();
         let run = runs.entry(id.to_string()).or_insert_with(|| Run {
             request_id: id.to_string(),
@@ -20,9 +20,9 @@
         change(run);
     }
 
-    /// Counts an accepted request.
+    /// Counts an accepted request as a resume or a start.
     pub(crate) fn start(&self, id: &str, resumed: bool) {
-        self.with(id, |r| {
+        self.update(id, |r| {
             if resumed {
                 r.resumes += 1;
             } else {
@@ -31,17 +31,17 @@
         });
     }
 
-    /// Counts a request that ran to its end.
+    /// Counts a request that ran to completion.
     pub(crate) fn end(&self, id: &str) {
-        self.with(id, |r| r.ends += 1);
+        self.update(id, |r| r.ends += 1);
     }
 
-    /// Everything counted so far, and how many calls were turned away.
-    pub(crate) fn list(&self, turned: u64) -> RunsReply {
+    /// Returns all counts, together with the number of rejected calls.
+    pub(crate) fn list(&self, rejected: u64) -> RunsReply {
         let runs = self.inner.lock().unwrap();
         RunsReply {
             runs: runs.values().cloned().collect(),
-            turned,
+            turned: rejected,
         }
     }
 }
--- a/crates/comfreyhall-standins/src/table.rs
+++ b/crates/comfreyhall-standins/src/table.rs
@@ -17,8 +17,8 @@
 #[derive(Default)]
 struct Rows {
     rows: BTreeMap<String, (Vec<u8>, u64)>,
-    /// Last version handed out; versions grow across all keys, never reused.
-    clock: u64,
+    /// Last version assigned. Versions increase across all keys and are never reused.
+    last_version: u64,
 }
 
 /// An in-memory table service with conditional, all-or-nothing commits.
@@ -37,34 +37,34 @@
 }
 
 impl TableStandin {
-    /// Reads one row, past any fault.
+    /// Reads one row, bypassing the fault switches.
     pub fn read(&self, key: &str) -> Option<Row> {
         let rows = self.rows.lock().unwrap();
         rows.rows.get(key).map(|(v, ver)| row(key, v, *ver))
     }
 
-    /// Lists up to `limit` rows (0 for all) under `prefix` after `after`.
+    /// Lists up to `limit` rows (0 for all) whose keys start with `prefix` and sort after `after`.
     pub fn list(&self, prefix: &str, after: &str, limit: u32) -> Vec<Row> {
         let limit = if limit == 0 {
             usize::MAX
         } else {
             limit as usize
         };
-        let from = if after > prefix {
+        let start = if after > prefix {
             Bound::Excluded(after)
         } else {
             Bound::Included(prefix)
         };
         let rows = self.rows.lock().unwrap();
         rows.rows
-            .range::<str, _>((from, Bound::Unbounded))
+            .range::<str, _>((start, Bound::Unbounded))
             .take_while(|(k, _)| k.starts_with(prefix))
             .take(limit)
             .map(|(k, (v, ver))| row(k, v, *ver))
             .collect()
     }
 
-    /// Commits all or nothing, past any fault.
+    /// Commits all or nothing, bypassing the fault switches.
     pub fn write(&self, req: CommitRequest) -> CommitReply {
         let mut rows = self.rows.lock().unwrap();
         for check in req.checks {
@@ -77,8 +77,8 @@
                 };
             }
         }
-        rows.clock += 1;
-        let version = rows.clock;
+        rows.last_version += 1;
+        let version = rows.last_version;
         let mut versions = Vec::with_capacity(req.puts.len());
         for put in req.puts {
             if put.delete {
@@ -99,7 +99,7 @@
 #[tonic::async_trait]
 impl Table for TableStandin {
     async fn get(&self, req: Request<GetRequest>) -> Result<Response<GetReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let found = self.read(&req.get_ref().key);
         Ok(Response::new(GetReply {
             found: found.is_some(),
@@ -108,17 +108,17 @@
     }
 
     async fn scan(&self, req: Request<ScanRequest>) -> Result<Response<ScanReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let req = req.into_inner();
         let rows = self.list(&req.prefix, &req.after, req.limit);
         Ok(Response::new(ScanReply { rows }))
     }
 
     async fn commit(&self, req: Request<CommitRequest>) -> Result<Response<CommitReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let reply = self.write(req.into_inner());
-        // The write took effect; with the fault set, the caller never hears.
-        if reply.applied && self.faults.loses_answer() {
+        // The write has taken effect; only its reply is lost.
+        if reply.applied && self.faults.loses_reply() {
             return Err(Status::unavailable("answer lost by fault order"));
         }
         Ok(Response::new(reply))
--- a/crates/comfreyhall-standins/src/text.rs
+++ b/crates/comfreyhall-standins/src/text.rs
@@ -1,8 +1,9 @@
 //! The text an engine stand-in generates.
 //!
-//! It is a pure function of adapter, version, prompt and token index, so a
-//! test can tell from the answer alone which adapter and version produced it
-//! and whether any token is missing, doubled or someone else's.
+//! The text is a pure function of adapter, version, prompt and token index.
+//! From the answer alone a test can therefore tell which adapter and version
+//! produced it, and whether a token is missing, duplicated or belongs to
+//! another request.
 
 use std::hash::{Hash, Hasher};
 
@@ -11,11 +12,11 @@
     "morning", "calm", "Hobart", "Lagos", "rest", "and",
 ];
 
-/// Token `index` of the answer to `prompt` on `adapter@version`.
+/// Returns token `index` of the answer to `prompt` on `adapter@version`.
 pub fn token(adapter: &str, version: &str, prompt: &str, index: u32) -> String {
-    let mut h = rustc_hash::FxHasher::default();
-    (adapter, version, prompt, index).hash(&mut h);
-    let word = WORDS[(h.finish() % WORDS.len() as u64) as usize];
+    let mut hasher = rustc_hash::FxHasher::default();
+    (adapter, version, prompt, index).hash(&mut hasher);
+    let word = WORDS[(hasher.finish() % WORDS.len() as u64) as usize];
     if index == 0 {
         word.to_string()
     } else {
@@ -23,7 +24,7 @@
     }
 }
 
-/// The whole answer of `n` tokens, as the stand-in streams it.
+/// Returns the whole answer of `n` tokens, as the stand-in streams it.
 pub fn expected_text(adapter: &str, version: &str, prompt: &str, n: u32) -> String {
     (0..n).map(|i| token(adapter, version, prompt, i)).collect()
 }
--- a/crates/comfreyhall-standins/src/weights.rs
+++ b/crates/comfreyhall-standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: a few loads a second, one at a time.
+//! The weight store stand-in: a few loads per second, one at a time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,24 +10,24 @@
 
 use crate::Faults;
 
-/// Bytes a stand-in adapter's weights weigh.
+/// Reported size of an adapter's weights, in bytes.
 const ADAPTER_BYTES: u64 = 64 << 20;
 
 /// A weight store that serves one fetch at a time at `loads_per_sec`.
 #[derive(Clone)]
 pub struct WeightsStandin {
-    /// Held for the length of one fetch: only one runs at full speed.
-    line: Arc<Mutex<()>>,
-    per_load: Duration,
+    /// Held during a fetch, so that only one runs at a time.
+    fetch_lock: Arc<Mutex<()>>,
+    fetch_duration: Duration,
     faults: Faults,
 }
 
 impl WeightsStandin {
-    /// A store allowing `loads_per_sec` loads a second.
+    /// Creates a store that allows `loads_per_sec` loads per second.
     pub fn new(loads_per_sec: f64) -> Self {
         Self {
-            line: Arc::default(),
-            per_load: Duration::from_secs_f64(1.0 / loads_per_sec.max(0.001)),
+            fetch_lock: Arc::default(),
+            fetch_duration: Duration::from_secs_f64(1.0 / loads_per_sec.max(0.001)),
             faults: Faults::default(),
         }
     }
@@ -36,16 +36,16 @@
 #[tonic::async_trait]
 impl Weights for WeightsStandin {
     async fn fetch(&self, req: Request<FetchRequest>) -> Result<Response<FetchReply>, Status> {
-        self.faults.gate().await?;
+        self.faults.delay_or_fail().await?;
         let start = Instant::now();
-        let _turn = self.line.lock().await;
+        let _guard = self.fetch_lock.lock().await;
         let waited = start.elapsed();
-        tokio::time::sleep(self.per_load).await;
+        tokio::time::sleep(self.fetch_duration).await;
         if self.faults.load_fails() {
-            let r = req.get_ref();
+            let failed = req.get_ref();
             return Err(Status::internal(format!(
                 "fetch of {}@{} failed by fault order",
-                r.adapter, r.version
+                failed.adapter, failed.version
             )));
         }
         Ok(Response::new(FetchReply {
