--- a/crates/comfreyhall-standins/src/lib.rs
+++ b/crates/comfreyhall-standins/src/lib.rs
@@ -83,10 +83,10 @@
 where
     S: Future<Output = ()> + Send + 'static,
 {
-    let mut servers: Vec<ServerFuture> = Vec::new();
+    let mut server_futures: Vec<ServerFuture> = Vec::new();
     let mut add = |name: &str, addr: &str, routes: &dyn Fn() -> Routes| {
         if wanted(name) {
-            servers.push(Box::pin(serve(socket(addr), routes(), stop())));
+            server_futures.push(Box::pin(serve(socket(addr), routes(), stop())));
         }
     };
     let platform = &settings.platform;
@@ -124,5 +124,5 @@
             Routes::new(PlainServer::new(PlainStandin::default()))
         });
     }
-    servers
+    server_futures
 }
