--- a/crates/comfreyhall-once/tests/once_fuzz.rs
+++ b/crates/comfreyhall-once/tests/once_fuzz.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use comfreyhall_catalog::CatalogError;
-use comfreyhall_fakes::{FakeTable, Fate, Free, Steps, fates};
+use comfreyhall_fakes::{CallOutcome, FakeTable, StatelessReference, Steps, call_outcomes};
 use comfreyhall_once::{Claim, ClaimOutcome, IdempotencyClaims, UnconfirmedClaim};
 use proptest::prelude::*;
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
@@ -24,17 +24,20 @@
     Attempt {
         daemon: usize,
         key: usize,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// `daemon` continues with the claim that it holds on `key`.
     Continue {
         daemon: usize,
         key: usize,
         action: Action,
-        fates: Vec<Fate>,
+        fates: Vec<CallOutcome>,
     },
     /// `daemon` releases its unconfirmed claims.
-    ReleaseUnconfirmed { daemon: usize, fates: Vec<Fate> },
+    ReleaseUnconfirmed {
+        daemon: usize,
+        fates: Vec<CallOutcome>,
+    },
     /// `daemon` crashes and restarts without any state.
     Crash(usize),
     /// Delayed commits of `daemon` arrive.
@@ -66,11 +69,11 @@
             Just(Action::NotRun)
         ];
         prop_oneof![
-            4 => (0..DAEMONS, 0..KEYS, fates(4))
+            4 => (0..DAEMONS, 0..KEYS, call_outcomes(4))
                 .prop_map(|(daemon, key, fates)| Step::Attempt { daemon, key, fates }),
-            4 => (0..DAEMONS, 0..KEYS, action, fates(4))
+            4 => (0..DAEMONS, 0..KEYS, action, call_outcomes(4))
                 .prop_map(|(daemon, key, action, fates)| Step::Continue { daemon, key, action, fates }),
-            2 => (0..DAEMONS, fates(4))
+            2 => (0..DAEMONS, call_outcomes(4))
                 .prop_map(|(daemon, fates)| Step::ReleaseUnconfirmed { daemon, fates }),
             1 => (0..DAEMONS).prop_map(Step::Crash),
             2 => (0..DAEMONS).prop_map(Step::Deliver),
@@ -97,13 +100,13 @@
 }
 
 impl System {
-    fn attempt(&mut self, daemon: usize, key: usize, fates: Vec<Fate>) {
+    fn attempt(&mut self, daemon: usize, key: usize, fates: Vec<CallOutcome>) {
         let daemon_state = &mut self.daemons[daemon];
         daemon_state.table.script(fates);
         let claimed = self
             .runtime
             .block_on(daemon_state.once.claim(&format!("k{key}"), "attempt"));
-        daemon_state.table.heal();
+        daemon_state.table.clear_script();
         match claimed {
             Ok(ClaimOutcome::Acquired(claim)) => {
                 assert!(
@@ -128,7 +131,7 @@
         }
     }
 
-    fn continue_claim(&mut self, daemon: usize, key: usize, action: Action, fates: Vec<Fate>) {
+    fn continue_claim(&mut self, daemon: usize, key: usize, action: Action, fates: Vec<CallOutcome>) {
         let daemon_state = &mut self.daemons[daemon];
         let Some(claim) = daemon_state.claims.remove(&key) else {
             return;
@@ -147,13 +150,13 @@
                 let _ = self.runtime.block_on(daemon_state.once.release(&claim));
             }
         }
-        daemon_state.table.heal();
+        daemon_state.table.clear_script();
     }
 }
 
 impl StateMachineTest for System {
     type SystemUnderTest = System;
-    type Reference = Free<Run>;
+    type Reference = StatelessReference<Run>;
 
     fn init_test((): &()) -> System {
         let table = FakeTable::default();
@@ -195,7 +198,7 @@
                         .runtime
                         .block_on(daemon_state.once.release_unconfirmed(&claim));
                 }
-                daemon_state.table.heal();
+                daemon_state.table.clear_script();
             }
             Step::Crash(daemon) => {
                 system.daemons[daemon].claims.clear();
@@ -244,7 +247,12 @@
     let table = FakeTable::default();
     let (first, second) = (table.client(), table.client());
     let first_once = IdempotencyClaims::new(first.clone(), "d0".into());
-    first.script([Fate::Unheard, Fate::Lost, Fate::Lost, Fate::Lost]);
+    first.script([
+        CallOutcome::ReplyLost,
+        CallOutcome::RequestLost,
+        CallOutcome::RequestLost,
+        CallOutcome::RequestLost,
+    ]);
     let claimed = runtime.block_on(first_once.claim("k", "a1")).unwrap();
     let ClaimOutcome::Unconfirmed(claim, _) = claimed else {
         panic!("claim confirmed without an answer: {claimed:?}");
