--- a/crates/comfreyhall-catalog/src/follow.rs
+++ b/crates/comfreyhall-catalog/src/follow.rs
@@ -8,7 +8,7 @@
 //! What can go wrong, and what prevents it:
 //!
 //! - An older configuration arrives late (a slow read, a peer that is
-//!   behind): it would undo a newer one. [`Follower::learn`] takes a
+//!   behind): it would undo a newer one. [`Follower::apply_sync`] takes a
 //!   configuration only if its version is higher than the one in force.
 //! - A record is read, changes, is dropped from the cache by the poll, and
 //!   then the old read is put into the cache, where it would stay. A read
@@ -16,7 +16,7 @@
 //!   moved.
 //! - This instance loses touch with the table while others do not: it would
 //!   keep an old configuration. It then learns from its peers
-//!   ([`Follower::news`] on their side, [`Follower::learn`] on ours).
+//!   ([`Follower::changes_since`] on their side, [`Follower::apply_sync`] on ours).
 //! - The process restarts: it knows no configuration, so it must not serve
 //!   before the first poll succeeded ([`Follower::synced`]).
 
@@ -31,7 +31,7 @@
 use crate::{
     Adapter, Catalog, CatalogError, Config, Customer, Rows, Table,
     change::EPOCH_KEY,
-    records::EVERY_KEY,
+    records::BULK_KEY,
     store::{CONFIG_KEY, adapter_key, decode},
 };
 
@@ -72,7 +72,7 @@
 
     fn forget(&mut self, key: &str) {
         self.drops += 1;
-        if key == EVERY_KEY {
+        if key == BULK_KEY {
             self.adapters.clear();
             self.customers.clear();
         } else if let Some(name) = key.strip_prefix("adapter/") {
@@ -93,7 +93,7 @@
 
 /// Something changed in the catalog, up to this epoch.
 #[derive(Debug, Clone, Copy)]
-pub struct Moved {
+pub struct NewEpoch {
     epoch: u64,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// Time since the table last answered a poll; zero before the first.
-    pub fn quiet(&self) -> Duration {
+    pub fn poll_age(&self) -> Duration {
         let heard = self.state().heard;
         heard.map_or(Duration::ZERO, |at| at.elapsed())
     }
@@ -145,7 +145,7 @@
     /// Reads what changed since the last poll; true if a new configuration
     /// came into force.
     pub async fn poll(&self) -> Result<bool, CatalogError> {
-        match self.moved().await? {
+        match self.check_epoch().await? {
             Some(moved) => self.catch_up(moved).await,
             None => Ok(false),
         }
@@ -153,19 +153,19 @@
 
     /// Asks whether anything changed since the last poll: one small answer, which
     /// tells at once whether the table answers.
-    pub async fn moved(&self) -> Result<Option<Moved>, CatalogError> {
+    pub async fn check_epoch(&self) -> Result<Option<NewEpoch>, CatalogError> {
         let row = self.catalog.rows().get(EPOCH_KEY).await?;
         let epoch: u64 = row.as_ref().map_or(Ok(0), decode)?;
         let mut state = self.state();
         state.heard = Some(Instant::now());
         let moved = !state.synced || epoch > state.epoch;
-        Ok(moved.then_some(Moved { epoch }))
+        Ok(moved.then_some(NewEpoch { epoch }))
     }
 
     /// Reads what changed, which may be large; true if a new configuration came into
     /// force.
-    pub async fn catch_up(&self, moved: Moved) -> Result<bool, CatalogError> {
-        let Moved { epoch } = moved;
+    pub async fn catch_up(&self, moved: NewEpoch) -> Result<bool, CatalogError> {
+        let NewEpoch { epoch } = moved;
         let (known, synced) = {
             let state = self.state();
             (state.epoch, state.synced)
@@ -191,7 +191,7 @@
     }
 
     /// What this follower knows past `epoch`, for a peer that lost the table.
-    pub async fn news(&self, epoch: u64) -> SyncReply {
+    pub async fn changes_since(&self, epoch: u64) -> SyncReply {
         let (mine, config, keys) = {
             let state = self.state();
             let keys: Vec<String> = state
@@ -226,7 +226,7 @@
     /// reads whatever the peer could not tell. Records are taken over only
     /// from a peer that is ahead: an answer that was slow may be older than
     /// what a poll read meanwhile, and nothing would drop it again.
-    pub fn learn(&self, news: &SyncReply) -> Result<bool, CatalogError> {
+    pub fn apply_sync(&self, news: &SyncReply) -> Result<bool, CatalogError> {
         let mut state = self.state();
         let mut fresh = false;
         let ahead = news.epoch > state.epoch;
@@ -292,7 +292,7 @@
     }
 
     /// One adapter from the table, whatever the cache holds.
-    pub async fn reread(&self, name: &str) -> Result<Arc<Adapter>, CatalogError> {
+    pub async fn refresh(&self, name: &str) -> Result<Arc<Adapter>, CatalogError> {
         self.state().forget(&adapter_key(name));
         self.adapter(name).await
     }
--- a/crates/comfreyhall-catalog/src/lib.rs
+++ b/crates/comfreyhall-catalog/src/lib.rs
@@ -15,8 +15,8 @@
 mod store;
 mod table;
 
-pub use follow::{Follower, Moved};
-pub use records::{Adapter, Audit, Customer, EVERY_KEY, Labels, Terms, Version};
+pub use follow::{Follower, NewEpoch};
+pub use records::{Adapter, Audit, BULK_KEY, Customer, Labels, Terms, Version};
 pub use rules::{Config, Effects, Rule, Rules, Select, Subject};
 pub use store::{Catalog, now_ms};
 pub use table::{CatalogError, Rows, Table, check, delete, put};
--- a/crates/comfreyhall-catalog/src/records.rs
+++ b/crates/comfreyhall-catalog/src/records.rs
@@ -72,11 +72,11 @@
     pub actor: String,
     /// What was done, such as `customer.create`.
     pub action: String,
-    /// The key of the changed record; [`EVERY_KEY`] for a bulk change.
+    /// The key of the changed record; [`BULK_KEY`] for a bulk change.
     pub key: String,
     /// A random id of the change, by which its author finds it again.
     pub change: u64,
 }
 
 /// Key of an audit entry whose change touched many records.
-pub const EVERY_KEY: &str = "*";
+pub const BULK_KEY: &str = "*";
--- a/crates/comfreyhall-catalog/src/store.rs
+++ b/crates/comfreyhall-catalog/src/store.rs
@@ -8,7 +8,7 @@
 use crate::{
     Adapter, Audit, CatalogError, Config, Customer, Rows, Rules, Table, Version,
     change::{AUDIT_PREFIX, Change},
-    records::{EVERY_KEY, Labels},
+    records::{BULK_KEY, Labels},
     table::{check, put},
 };
 
@@ -320,7 +320,7 @@
         }
         let change = Change {
             action: "seed",
-            key: EVERY_KEY,
+            key: BULK_KEY,
             checks: fresh.iter().map(|(key, _)| check(key, 0)).collect(),
             puts: |_| fresh.iter().map(|(k, v)| put(k, v.clone())).collect(),
         };
--- a/crates/comfreyhall-catalog/tests/config_fuzz.rs
+++ b/crates/comfreyhall-catalog/tests/config_fuzz.rs
@@ -295,7 +295,7 @@
             }
             Step::Ask { daemon, peer } => {
                 let epoch = system.daemons[daemon].follower.epoch();
-                let news = system.daemons[peer].follower.news(epoch);
+                let news = system.daemons[peer].follower.changes_since(epoch);
                 let news = system.runtime.block_on(news);
                 system.daemons[daemon].news = Some(news);
             }
@@ -304,7 +304,7 @@
                 if let Some(news) = d.news.take()
                     && d.follower.synced()
                 {
-                    d.follower.learn(&news).unwrap();
+                    d.follower.apply_sync(&news).unwrap();
                 }
             }
             Step::Restart(daemon) => {
--- a/crates/comfreyhall-catalog/tests/follow.rs
+++ b/crates/comfreyhall-catalog/tests/follow.rs
@@ -45,13 +45,13 @@
         .await
         .unwrap();
     peer.poll().await.unwrap();
-    let news = peer.news(daemon.epoch()).await;
+    let news = peer.changes_since(daemon.epoch()).await;
     catalog
         .add_version("narrator", version("v2"))
         .await
         .unwrap();
     daemon.poll().await.unwrap();
-    daemon.learn(&news).unwrap();
+    daemon.apply_sync(&news).unwrap();
     daemon.poll().await.unwrap();
     let record = daemon.adapter("narrator").await.unwrap();
     assert!(record.has_version("v2"), "{record:?}");
@@ -74,7 +74,9 @@
     peer.poll().await.unwrap();
     cut_off.script([comfreyhall_fakes::Fate::Unsent; 4]);
     assert!(daemon.poll().await.is_err());
-    daemon.learn(&peer.news(daemon.epoch()).await).unwrap();
+    daemon
+        .apply_sync(&peer.changes_since(daemon.epoch()).await)
+        .unwrap();
     let record = daemon.adapter("narrator").await.unwrap();
     assert!(record.has_version("v1"), "{record:?}");
 }
--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -185,7 +185,7 @@
             }
             LeaseStatus::Free => {}
         }
-        if app.inner.follower.quiet() >= lease_term(app) {
+        if app.inner.follower.poll_age() >= lease_term(app) {
             let token = app.inner.lease.highest_token();
             return order(app, &wanted, decision, token).await;
         }
--- a/crates/comfreyhall-daemon/src/peer.rs
+++ b/crates/comfreyhall-daemon/src/peer.rs
@@ -43,7 +43,9 @@
         if !follower.synced() {
             return Err(Status::unavailable("this instance knows no configuration"));
         }
-        Ok(Response::new(follower.news(req.get_ref().epoch).await))
+        Ok(Response::new(
+            follower.changes_since(req.get_ref().epoch).await,
+        ))
     }
 
     async fn place(&self, req: Request<PlaceRequest>) -> Result<Response<PlaceReply>, Status> {
@@ -93,7 +95,7 @@
 /// Polls the table once; false if it did not answer.
 async fn follow(app: &App) -> bool {
     let follower = &app.inner.follower;
-    let moved = match tokio::time::timeout(POLL_TIMEOUT, follower.moved()).await {
+    let moved = match tokio::time::timeout(POLL_TIMEOUT, follower.check_epoch()).await {
         Ok(Ok(moved)) => moved,
         Ok(Err(_)) | Err(_) => return false,
     };
@@ -152,7 +154,7 @@
     app.inner
         .counters
         .control(ask.encoded_len(), news.encoded_len());
-    match follower.learn(news) {
+    match follower.apply_sync(news) {
         Ok(true) => {
             let version = follower.config().version;
             log::info!(target: "follow", "configuration {version} is in force, from a peer");
--- a/crates/comfreyhall-daemon/src/resolve.rs
+++ b/crates/comfreyhall-daemon/src/resolve.rs
@@ -36,7 +36,7 @@
     };
     let mut record = follower.adapter(adapter).await.map_err(missing)?;
     if !record.has_version(version) {
-        record = follower.reread(adapter).await.map_err(missing)?;
+        record = follower.refresh(adapter).await.map_err(missing)?;
     }
     let found = record.versions.iter().find(|v| v.name == version);
     let Some(found) = found else {
