--- a/crates/comfreyhall-node/src/caps/mod.rs
+++ b/crates/comfreyhall-node/src/caps/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use comfreyhall_domain::{Config, Map, Name};
-use comfreyhall_settings::CapWay;
+use comfreyhall_settings::QuotaMode;
 use comfreyhall_workspace::{
     GrantingLimiter, LendingLimiter, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter,
     ReserveOutcome, SharingLimiter, Tolerance,
@@ -227,14 +227,14 @@
 fn meter(node: &Node) -> Box<dyn RateLimiter> {
     let settings = node.settings();
     let tolerance = Tolerance {
-        window_ms: (settings.caps.window_s * 1_000.0) as u64,
-        overshoot: settings.caps.overshoot,
-        slack: settings.caps.slack,
+        window_ms: (settings.quotas.window_s * 1_000.0) as u64,
+        overshoot: settings.quotas.overshoot,
+        slack: settings.quotas.slack,
     };
     let me = me(node);
-    match settings.caps.way {
-        CapWay::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
-        CapWay::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
+    match settings.quotas.mode {
+        QuotaMode::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
+        QuotaMode::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
     }
 }
 
--- a/crates/comfreyhall-settings/src/lib.rs
+++ b/crates/comfreyhall-settings/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use check::SettingsError;
 pub use model::*;
-pub use node::{Bounds, CapWay, Caps, Listen, NodeSettings, Policies};
+pub use node::{Bounds, Listen, NodeSettings, Policies, QuotaMode, Quotas};
 
 #[cfg(test)]
 mod tests;
--- a/crates/comfreyhall-settings/src/model.rs
+++ b/crates/comfreyhall-settings/src/model.rs
@@ -203,6 +203,6 @@
 }
 
 /// Parses an `ip:port` field, for callers that already checked the file.
-pub fn socket(addr: &str) -> SocketAddr {
+pub fn socket_addr(addr: &str) -> SocketAddr {
     addr.parse().expect("settings were checked on load")
 }
--- a/crates/comfreyhall-settings/src/node.rs
+++ b/crates/comfreyhall-settings/src/node.rs
@@ -63,7 +63,7 @@
 /// How the daemons keep the caps of workspaces together.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq, Default)]
 #[serde(rename_all = "snake_case")]
-pub enum CapWay {
+pub enum QuotaMode {
     /// The home of a workspace lends credit to those whose requests need it.
     #[default]
     Lending,
@@ -74,9 +74,10 @@
 /// Caps of workspaces.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Caps {
+pub struct Quotas {
     /// How they are kept.
-    pub way: CapWay,
+    #[serde(rename = "way")]
+    pub mode: QuotaMode,
     /// Window in which the use of a workspace is compared with its cap, in s.
     pub window_s: f64,
     /// How far the use may lie above what the cap allows there, as a part of it.
@@ -85,10 +86,10 @@
     pub slack: f64,
 }
 
-impl Default for Caps {
+impl Default for Quotas {
     fn default() -> Self {
         Self {
-            way: CapWay::default(),
+            mode: QuotaMode::default(),
             window_s: 8.0,
             overshoot: 0.1,
             slack: 0.0,
@@ -177,7 +178,8 @@
     pub bounds: Bounds,
     /// Caps of workspaces.
     #[serde(default)]
-    pub caps: Caps,
+    #[serde(rename = "caps")]
+    pub quotas: Quotas,
     /// Mechanisms that decide.
     #[serde(default)]
     pub policies: Policies,
@@ -210,7 +212,7 @@
             ("bounds.version_ms", b.version_ms as f64),
             ("bounds.address_s", b.address_s),
             ("bounds.retry_s", b.retry_s),
-            ("caps.window_s", self.caps.window_s),
+            ("caps.window_s", self.quotas.window_s),
         ];
         for (field, value) in positive {
             if value <= 0.0 {
--- a/crates/comfreyhall-standins/src/lib.rs
+++ b/crates/comfreyhall-standins/src/lib.rs
@@ -35,7 +35,7 @@
     engine_server::EngineServer, instances_server::InstancesServer, objects_server::ObjectsServer,
     plain_server::PlainServer, table_server::TableServer, weights_server::WeightsServer,
 };
-use comfreyhall_settings::{Settings, socket};
+use comfreyhall_settings::{Settings, socket_addr};
 use futures::future::BoxFuture;
 use tonic::{service::Routes, transport::Server};
 
@@ -86,7 +86,7 @@
     let mut all: Vec<Serving> = Vec::new();
     let mut add = |name: &str, addr: &str, routes: &dyn Fn() -> Routes| {
         if wanted(name) {
-            all.push(Box::pin(serve(socket(addr), routes(), stop())));
+            all.push(Box::pin(serve(socket_addr(addr), routes(), stop())));
         }
     };
     let p = &s.platform;
