--- a/crates/comfreyhall-settings/src/lib.rs
+++ b/crates/comfreyhall-settings/src/lib.rs
@@ -1,14 +1,14 @@
 //! The settings of a comfreyhall deployment.
 //!
-//! One file describes a whole deployment: its entry instances, engines, plain
-//! services, the platform's table service and weight store, and the policy
-//! knobs. Every process reads the same file and picks its own part by name,
-//! so a process learns its address and failure domain from its settings.
+//! A single file describes a whole deployment: its entry instances, engines and
+//! plain services, the platform's table service and weight store, and the tuning
+//! parameters. Every process reads the same file and looks up its own entry by
+//! name, which gives its address and failure domain.
 //!
 //! The file is JSON with comments (parsed as JSON5). [`Settings::parse`]
-//! checks it whole before anything uses it: a bad file is refused with an
-//! error that names the field and says how to mend it, and a process that is
-//! already running keeps the last good settings.
+//! validates all of it before anything uses it. An invalid file is rejected with
+//! an error that names the field and says how to fix it, and a process that is
+//! already running keeps the last valid settings.
 
 mod check;
 mod model;
--- a/crates/comfreyhall-settings/src/model.rs
+++ b/crates/comfreyhall-settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The shapes of the settings file.
+//! The structure of the settings file.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,18 +6,18 @@
 
 use crate::check::{self, SettingsError};
 
-/// Which placement policy the daemons use.
+/// Placement policy of the daemons.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// Decayed request rate decides residency, replicas and victims.
+    /// A decayed request rate decides residency, replicas and eviction.
     #[default]
     Frequency,
     /// Baseline: load on demand, evict the least recently used.
     Lru,
 }
 
-/// An entry instance that runs a daemon.
+/// An entry instance, which runs a daemon.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
@@ -25,7 +25,7 @@
     pub id: Arc<str>,
     /// Failure domain, such as `ikeja`.
     pub domain: Arc<str>,
-    /// Caller-facing HTTP address, `ip:port`.
+    /// HTTP address for callers, `ip:port`.
     pub listen: String,
 }
 
@@ -45,12 +45,12 @@
     /// Sequences per batch step, 1 to 1024.
     #[serde(default = "default_width")]
     pub width: u32,
-    /// Whether the engine refuses orders with an old fencing token.
+    /// Whether the engine rejects commands with an old fencing token.
     #[serde(default = "default_true")]
     pub fencing: bool,
 }
 
-/// A plain service beside the engines.
+/// A plain service, which runs no models.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
@@ -62,7 +62,7 @@
     pub listen: String,
 }
 
-/// The platform's systems as the deployment reaches them.
+/// Addresses and limits of the platform's services.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
@@ -76,13 +76,13 @@
     pub instances: String,
     /// Adapter loads per second the weight store allows.
     pub loads_per_sec: f64,
-    /// Stand-ins only: a text in a prompt that ends the engine that begins to
+    /// Stand-ins only: text in a prompt that terminates the engine that starts to
     /// run it; empty for none.
     #[serde(default)]
     pub deadly_prompt: Arc<str>,
 }
 
-/// Timing and policy knobs of the daemons.
+/// Timing and policy parameters of the daemons.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
@@ -90,20 +90,20 @@
     pub policy: PolicyKind,
     /// Heartbeat period in ms.
     pub heartbeat_ms: u64,
-    /// A member whose heartbeat is older than this, in ms, is gone.
+    /// Age of its last heartbeat after which a member counts as gone, in ms.
     pub lease_ms: u64,
-    /// How long callers may keep an address answer, in ms.
+    /// How long callers may cache a list of addresses, in ms.
     pub address_ttl_ms: u64,
-    /// Deadline for requests that name none, in ms.
+    /// Default deadline of a request, in ms.
     pub deadline_ms: u64,
     /// Engine status poll period in ms.
     pub poll_ms: u64,
-    /// Half-life of the request rate the frequency policy keeps, in ms.
+    /// Half-life of the decayed request rate of the frequency policy, in ms.
     pub half_life_ms: u64,
-    /// How often a daemon looks for changes of the catalog and the
+    /// Period at which a daemon polls for changes of the catalog and the
     /// configuration, in ms.
     pub follow_ms: u64,
-    /// Longest a planned stop waits for requests in progress, in ms.
+    /// Longest time a planned stop waits for requests in progress, in ms.
     pub drain_ms: u64,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// The workload a deployment carries, used by the load tool and seeding.
+/// The workload of a deployment, used by the load tool and for seeding.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
@@ -142,19 +142,19 @@
 pub struct Settings {
     /// Deployment name, such as `oduya`.
     pub deployment: Arc<str>,
-    /// Entry instances; 7 in a usual deployment.
+    /// Entry instances; a typical deployment has 7.
     pub instances: Vec<Instance>,
     /// Model engines.
     pub engines: Vec<Engine>,
     /// Plain services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// The platform's systems.
+    /// The platform's services.
     pub platform: Platform,
-    /// Daemon knobs.
+    /// Parameters of the daemons.
     #[serde(default)]
     pub tuning: Tuning,
-    /// Seed workload.
+    /// Workload for seeding and the load tool.
     pub workload: Workload,
 }
 
@@ -175,7 +175,7 @@
 }
 
 impl Settings {
-    /// Parses and checks settings text; `origin` names the file in errors.
+    /// Parses and validates `text`; `origin` names the file in errors.
     pub fn parse(text: &str, origin: &str) -> Result<Self, SettingsError> {
         let settings: Settings = json5::from_str(text).map_err(|e| SettingsError::Syntax {
             origin: origin.to_string(),
@@ -185,7 +185,7 @@
         Ok(settings)
     }
 
-    /// Reads, parses and checks a settings file.
+    /// Reads, parses and validates the file at `path`.
     pub fn load(path: impl AsRef<std::path::Path>) -> Result<Self, SettingsError> {
         let (text, origin) = check::read(path.as_ref())?;
         Self::parse(&text, &origin)
@@ -202,7 +202,8 @@
     }
 }
 
-/// Parses an `ip:port` field, for callers that already checked the file.
+/// Parses an `ip:port` field of settings that were validated; panics if it is
+/// malformed.
 pub fn socket_addr(addr: &str) -> SocketAddr {
-    addr.parse().expect("settings were checked on load")
+    addr.parse().expect("settings are validated on load")
 }
--- a/crates/comfreyhall-settings/src/node.rs
+++ b/crates/comfreyhall-settings/src/node.rs
@@ -1,8 +1,9 @@
-//! The settings of one daemon on a platform that starts and places it.
+//! The settings of one daemon on a platform that schedules it.
 //!
-//! There the platform, not a shared file, says who the daemon is, where it
-//! listens and which bounds it must keep. The file is JSON with comments,
-//! checked whole; a bad one is refused and the last good one stays in force.
+//! There the platform, instead of a shared file, determines the daemon's
+//! identity, its listen addresses and the bounds it must keep. The file is JSON
+//! with comments and is validated as a whole; an invalid file is rejected and the
+//! last valid settings stay active.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,79 +11,81 @@
 
 use crate::check::{self, SettingsError};
 
-/// Where a daemon listens, each as `ip:port`.
+/// Listen addresses of a daemon, each as `ip:port`.
 #[derive(Debug, Clone, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Requests of callers.
+    /// Address for requests of callers.
     pub front: SocketAddr,
-    /// The platform's readiness check.
+    /// Address for the platform's readiness check.
     pub ready: SocketAddr,
-    /// Callers that ask which addresses to use.
+    /// Address at which callers look up the addresses to use.
     pub directory: SocketAddr,
-    /// Other daemons.
+    /// Address for peers.
     pub peers: SocketAddr,
-    /// Metrics, if they are exposed.
+    /// Address for metrics, if they are exposed.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Bounds that the deployment promises.
+/// Bounds that the deployment guarantees.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// A planned stop ends within this, in s.
+    /// Longest duration of a planned stop, in s.
     pub grace_s: f64,
-    /// No new work for a target this long after it said that it leaves, in ms.
+    /// Time within which a target that reports draining gets no more new work, in ms.
     pub drain_ms: u64,
-    /// A lease holds this long without renewal, in ms.
+    /// Term of a lease without renewal, in ms.
     pub lease_ms: u64,
-    /// An accepted configuration is in force within this, in ms.
+    /// Time within which an accepted configuration is active, in ms.
     pub apply_ms: u64,
-    /// A named adapter version is in force within this, in ms.
+    /// Time within which a named adapter version is active, in ms.
     pub version_ms: u64,
-    /// Longest that callers may keep an address answer, in s.
+    /// Longest time that callers may cache a list of addresses, in s.
     pub address_s: f64,
-    /// Repeats allowed as a share of the requests.
+    /// Retries allowed, as a share of the requests.
     pub retry_ratio: f64,
-    /// Repeats allowed besides, over all daemons.
+    /// Further retries allowed per window, over all daemons together.
     pub retry_allowance: f64,
-    /// Window of the repeats, in s.
+    /// Window of the retry budget, in s.
     pub retry_s: f64,
-    /// Whether engines refuse orders under a token lower than one they saw.
+    /// Whether engines reject commands with a fencing token lower than one already
+    /// seen.
     pub fencing: bool,
-    /// Time for an entry to come back after the store was away, in s.
+    /// Time that a row has to reappear after an outage of the store, in s.
     pub return_s: f64,
-    /// Ms after the last word of the store, also through others, from which on
-    /// no key counts any more: it may have been taken back. `None` if keys
-    /// count for as long as the store is silent.
+    /// Time after the last contact with the store, direct or through peers, from
+    /// which on no API key is accepted, since it may have been revoked, in ms.
+    /// `None`: keys stay valid for as long as the store is unreachable.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
 }
 
-/// How the daemons keep the caps of workspaces together.
+/// How the daemons jointly enforce the quotas of workspaces.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum QuotaMode {
-    /// The home of a workspace lends credit to those whose requests need it.
+    /// The quota coordinator of a workspace lends credit to the daemons whose
+    /// requests need it.
     #[default]
     Lending,
-    /// Each daemon has a part that follows what is asked of it.
+    /// Each daemon has a share of the quota that follows its demand.
     Sharing,
 }
 
-/// Caps of workspaces.
+/// Quotas of workspaces.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Quotas {
-    /// How they are kept.
+    /// How they are enforced.
     #[serde(rename = "way")]
     pub mode: QuotaMode,
-    /// Window in which the use of a workspace is compared with its cap, in s.
+    /// Window over which the usage of a workspace is compared with its quota, in s.
     pub window_s: f64,
-    /// How far the use may lie above what the cap allows there, as a part of it.
+    /// Usage allowed above the quota of a window, as a share of that quota.
     pub overshoot: f64,
-    /// And by how many units besides.
+    /// Units of usage allowed above that, per window.
     pub slack: f64,
 }
 
@@ -97,40 +100,41 @@
     }
 }
 
-/// Mechanisms that decide, each with a switch: to see what it is worth, or to
-/// do without one that harms a deployment. All are on by default; off is the
-/// plainest behaviour that keeps every promise.
+/// Switches of the scheduling mechanisms, to measure what each contributes or to
+/// disable one that harms a deployment. All are on by default; with one off, the
+/// daemon uses the simplest behaviour that keeps every guarantee.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policies {
-    /// A request that waits for a place takes the first one that falls free
-    /// in its group of engines; off: at the engine it chose.
+    /// A request that waits for a slot takes the first that becomes free in its
+    /// group of engines; off: it waits at the engine it chose.
     pub shared_waits: bool,
-    /// The holder of a group's lease chooses the engine for every run there;
-    /// off: each daemon chooses by the news.
+    /// The lease holder of a group chooses the engine for every run there; off:
+    /// each daemon chooses from gossip.
     pub binding: bool,
-    /// Requests that share a prompt go to one copy of their adapter.
+    /// Requests that share a prompt go to the same replica of their adapter.
     pub shared_prompts: bool,
     /// Each failure domain serves its own callers of a hot adapter.
     pub hot_near: bool,
-    /// Reading a prompt beside streams costs more while places are short.
+    /// Prefill beside running streams costs more while slots are scarce.
     pub place_time: bool,
-    /// Adapters are loaded where they are at hand, even if the queue there is
-    /// somewhat longer; off: only time counts.
+    /// Adapters are loaded on engines that have the weights cached, even if the
+    /// queue there is somewhat longer; off: only the expected time counts.
     pub spare_store: bool,
-    /// A load that pushes out another adapter costs more than its time.
+    /// A load that evicts another adapter costs more than its duration.
     pub spare_places: bool,
-    /// Copies of hot adapters are ordered before requests queue.
+    /// Replicas of hot adapters are loaded before requests queue.
     pub early_copies: bool,
-    /// Requests whose wait would be too long are refused on arrival.
+    /// Requests whose wait would be too long are rejected on arrival.
     pub admission: bool,
-    /// Targets that fail are used less.
+    /// Targets that fail get fewer requests.
     pub outliers: bool,
-    /// Near targets win among equals.
+    /// Among equal targets, those in the same failure domain are preferred.
     pub near_first: bool,
-    /// Loads from the weight store are bounded by how fast it serves them.
+    /// Loads from the weight store are limited by how fast it serves them.
     pub load_window: bool,
-    /// A target that stays mute for long is given up for another.
+    /// A request to a target that stays silent for long is abandoned for another
+    /// target.
     pub patience: bool,
 }
 
@@ -160,39 +164,39 @@
 pub struct NodeSettings {
     /// Unique name of the instance.
     pub id: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: Arc<str>,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// Whether the whole system starts for the first time, so that nothing of
-    /// before can be found.
+    /// Whether the whole deployment starts for the first time, so that no earlier
+    /// state exists.
     #[serde(default)]
     pub first_start: bool,
-    /// Its part of a core: daemons that have more take leases first.
+    /// CPU cores of the instance, such as 0.25; daemons with more take leases first.
     pub cores: f64,
-    /// Peer addresses to begin with; may be stale.
+    /// Peer addresses to contact at start; may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Promised bounds.
+    /// Guaranteed bounds.
     pub bounds: Bounds,
-    /// Caps of workspaces.
+    /// Quotas of workspaces.
     #[serde(default)]
     #[serde(rename = "caps")]
     pub quotas: Quotas,
-    /// Mechanisms that decide.
+    /// Switches of the scheduling mechanisms.
     #[serde(default)]
     pub policies: Policies,
 }
 
 impl NodeSettings {
-    /// Reads and checks the file at `path`.
+    /// Reads, parses and validates the file at `path`.
     pub fn load(path: impl AsRef<std::path::Path>) -> Result<Self, SettingsError> {
         let (text, origin) = check::read(path.as_ref())?;
         Self::parse(&text, &origin)
     }
 
-    /// Parses and checks `text`, which came from `origin`.
+    /// Parses and validates `text`; `origin` names the file in errors.
     pub fn parse(text: &str, origin: &str) -> Result<Self, SettingsError> {
         let settings: Self = json5::from_str(text).map_err(|e| SettingsError::Syntax {
             origin: origin.to_string(),
@@ -218,7 +222,7 @@
             if value <= 0.0 {
                 return Err(SettingsError::Field {
                     field: field.to_string(),
-                    problem: format!("{value} is not a bound that can be kept"),
+                    problem: format!("{value} is not a positive number"),
                     remedy: "give a number above 0".to_string(),
                 });
             }
@@ -226,8 +230,8 @@
         if self.cores <= 0.0 {
             return Err(SettingsError::Field {
                 field: "cores".to_string(),
-                problem: format!("{} is no part of a core", self.cores),
-                remedy: "give the part of a core that the instance has".to_string(),
+                problem: format!("{} is not a number of CPU cores", self.cores),
+                remedy: "give the CPU cores of the instance, a number above 0".to_string(),
             });
         }
         if self.id.is_empty() || self.domain.is_empty() {
