--- a/crates/comfreyhall-settings/src/tests.rs
+++ b/crates/comfreyhall-settings/src/tests.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn parse_policies_on_by_default() {
-    let defaults = node_settings("").unwrap().policies;
-    assert_eq!(defaults, crate::Policies::default());
+    let all = node_settings("").unwrap().policies;
+    assert_eq!(all, crate::Policies::default());
     let without_admission = node_settings("policies: { admission: false }").unwrap();
     assert!(!without_admission.policies.admission && without_admission.policies.patience);
     let unknown = node_settings("policies: { admision: false }").unwrap_err();
