--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -151,7 +151,7 @@
         .collect();
     let base = |t: &Target| Candidate {
         id: t.id.clone(),
-        same_domain: t.failure_domain == settings.domain || !policies.near_first,
+        same_domain: t.failure_domain == settings.domain || !policies.prefer_local,
         wait_ms: 0.0,
         load_ms: 0.0,
         from_store: false,
@@ -193,7 +193,7 @@
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let loads = best.load_ms > 0.0;
     let picks = match loads && wish.group.is_some() {
-        true if policies.shared_waits => picks(best, &loaders, again_ms),
+        true if policies.group_waits => picks(best, &loaders, again_ms),
         true => picks(best, &[], again_ms),
         false => Vec::new(),
     };
@@ -281,7 +281,7 @@
     let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let prices = prices(node, view, wish, engine, targets, &in_use);
-    let hot = policies.hot_near && view.is_hot(adapter, now);
+    let hot = policies.local_hot && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
     let at_home = wish.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
     let resident = |t: &Target| view.residency.held_version(adapter, &t.id);
@@ -331,8 +331,8 @@
         let recent = view.residency.likely_cached(adapter, &t.id, now);
         choice.load_ms = node.controllers.expected_load_ms(recent);
         // A copy of a hot adapter serves many, not one request.
-        choice.from_store = !recent && !hot && policies.spare_store;
-        choice.evicts = policies.spare_places
+        choice.from_store = !recent && !hot && policies.prefer_cached;
+        choice.evicts = policies.avoid_evictions
             && !hot
             && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
@@ -370,7 +370,7 @@
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
 ) -> Option<SlotTimePrice> {
-    wish.group.filter(|_| node.policies().place_time)?;
+    wish.group.filter(|_| node.policies().slot_price)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
--- a/crates/comfreyhall-node/src/keeper/copies.rs
+++ b/crates/comfreyhall-node/src/keeper/copies.rs
@@ -27,7 +27,7 @@
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(PERIOD).await;
-            let wanted = node.policies().early_copies;
+            let wanted = node.policies().early_replicas;
             if wanted && node.leases.holds_any(node.settings().bounds.fencing) {
                 order(&node);
             }
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -47,7 +47,7 @@
     /// How long a first event may stay away before another target is tried.
     pub(super) fn patience(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
-        let mute = self.node.policies().patience;
+        let mute = self.node.policies().abandon_silent;
         if !mute || !choose::repeatable(&self.route) || tries >= self.route.max_attempts {
             return self.left();
         }
--- a/crates/comfreyhall-settings/src/node.rs
+++ b/crates/comfreyhall-settings/src/node.rs
@@ -108,52 +108,60 @@
 pub struct Policies {
     /// A request that waits for a slot takes the first that becomes free in its
     /// group of engines; off: it waits at the engine it chose.
-    pub shared_waits: bool,
+    #[serde(rename = "shared_waits")]
+    pub group_waits: bool,
     /// The lease holder of a group chooses the engine for every run there; off:
     /// each daemon chooses from gossip.
     pub binding: bool,
     /// Requests that share a prompt go to the same replica of their adapter.
     pub shared_prompts: bool,
     /// Each failure domain serves its own callers of a hot adapter.
-    pub hot_near: bool,
+    #[serde(rename = "hot_near")]
+    pub local_hot: bool,
     /// Prefill beside running streams costs more while slots are scarce.
-    pub place_time: bool,
+    #[serde(rename = "place_time")]
+    pub slot_price: bool,
     /// Adapters are loaded on engines that have the weights cached, even if the
     /// queue there is somewhat longer; off: only the expected time counts.
-    pub spare_store: bool,
+    #[serde(rename = "spare_store")]
+    pub prefer_cached: bool,
     /// A load that evicts another adapter costs more than its duration.
-    pub spare_places: bool,
+    #[serde(rename = "spare_places")]
+    pub avoid_evictions: bool,
     /// Replicas of hot adapters are loaded before requests queue.
-    pub early_copies: bool,
+    #[serde(rename = "early_copies")]
+    pub early_replicas: bool,
     /// Requests whose wait would be too long are rejected on arrival.
     pub admission: bool,
     /// Targets that fail get fewer requests.
     pub outliers: bool,
     /// Among equal targets, those in the same failure domain are preferred.
-    pub near_first: bool,
+    #[serde(rename = "near_first")]
+    pub prefer_local: bool,
     /// Loads from the weight store are limited by how fast it serves them.
     pub load_window: bool,
     /// A request to a target that stays silent for long is abandoned for another
     /// target.
-    pub patience: bool,
+    #[serde(rename = "patience")]
+    pub abandon_silent: bool,
 }
 
 impl Default for Policies {
     fn default() -> Self {
         Self {
-            shared_waits: true,
+            group_waits: true,
             binding: true,
             shared_prompts: true,
-            hot_near: true,
-            place_time: true,
-            spare_store: true,
-            spare_places: true,
-            early_copies: true,
+            local_hot: true,
+            slot_price: true,
+            prefer_cached: true,
+            avoid_evictions: true,
+            early_replicas: true,
             admission: true,
             outliers: true,
-            near_first: true,
+            prefer_local: true,
             load_window: true,
-            patience: true,
+            abandon_silent: true,
         }
     }
 }
