--- a/crates/comfreyhall-daemon/src/orders.rs
+++ b/crates/comfreyhall-daemon/src/orders.rs
@@ -187,7 +187,7 @@
             }
             LeaseStatus::Free => {}
         }
-        if app.inner.follower.quiet() >= lease_term(app) {
+        if app.inner.follower.poll_age() >= lease_term(app) {
             let token = app.inner.lease.highest_token();
             return execute(app, &placement, decision, token).await;
         }
--- a/crates/comfreyhall-daemon/src/peer.rs
+++ b/crates/comfreyhall-daemon/src/peer.rs
@@ -43,7 +43,9 @@
         if !follower.synced() {
             return Err(Status::unavailable("this instance knows no configuration"));
         }
-        Ok(Response::new(follower.news(req.get_ref().epoch).await))
+        Ok(Response::new(
+            follower.changes_since(req.get_ref().epoch).await,
+        ))
     }
 
     async fn place(&self, req: Request<PlaceRequest>) -> Result<Response<PlaceReply>, Status> {
@@ -96,7 +98,7 @@
 /// Polls the table once; false if it did not answer.
 async fn poll_table(app: &App) -> bool {
     let follower = &app.inner.follower;
-    let change = match tokio::time::timeout(POLL_TIMEOUT, follower.moved()).await {
+    let change = match tokio::time::timeout(POLL_TIMEOUT, follower.check_epoch()).await {
         Ok(Ok(change)) => change,
         Ok(Err(_)) | Err(_) => return false,
     };
@@ -155,7 +157,7 @@
     app.inner
         .counters
         .count_control(request.encoded_len(), reply.encoded_len());
-    match follower.learn(reply) {
+    match follower.apply_sync(reply) {
         Ok(true) => {
             let version = follower.config().version;
             log::info!(target: "follow", "configuration {version} is in force, from a peer");
--- a/crates/comfreyhall-daemon/src/resolve.rs
+++ b/crates/comfreyhall-daemon/src/resolve.rs
@@ -37,7 +37,7 @@
     };
     let mut record = follower.adapter(adapter).await.map_err(lookup_error)?;
     if !record.has_version(version) {
-        record = follower.reread(adapter).await.map_err(lookup_error)?;
+        record = follower.refresh(adapter).await.map_err(lookup_error)?;
     }
     let found = record.versions.iter().find(|v| v.name == version);
     let Some(found) = found else {
--- a/crates/comfreyhall-node/src/choose.rs
+++ b/crates/comfreyhall-node/src/choose.rs
@@ -152,7 +152,7 @@
         .collect();
     let base = |t: &Target| Candidate {
         id: t.id.clone(),
-        same_domain: t.failure_domain == settings.domain || !policies.near_first,
+        same_domain: t.failure_domain == settings.domain || !policies.prefer_local,
         wait_ms: 0.0,
         load_ms: 0.0,
         from_store: false,
@@ -202,7 +202,7 @@
     let target = targets.iter().find(|t| t.id == best.id)?.clone();
     let needs_load = best.load_ms > 0.0;
     let candidates = match needs_load && criteria.group.is_some() {
-        true if policies.shared_waits => candidates(best, &loaders, retry_cost_ms),
+        true if policies.group_waits => candidates(best, &loaders, retry_cost_ms),
         true => candidates(best, &[], retry_cost_ms),
         false => Vec::new(),
     };
@@ -292,7 +292,7 @@
     let named = view.named_versions.get(adapter).map_or(0, |n| n.version);
     let policies = node.policies();
     let slot_price = slot_price(node, view, criteria, engine, targets, &in_use);
-    let hot = policies.hot_near && view.is_hot(adapter, now);
+    let hot = policies.local_hot && view.is_hot(adapter, now);
     let domain = node.settings().domain.clone();
     let has_local_engines =
         criteria.group.is_some() || targets.iter().any(|t| t.failure_domain == domain);
@@ -344,8 +344,8 @@
         let cached = view.residency.likely_cached(adapter, &t.id, now);
         choice.load_ms = node.controllers.expected_load_ms(cached);
         // A copy of a hot adapter serves many requests, not one.
-        choice.from_store = !cached && !hot && policies.spare_store;
-        choice.evicts = policies.spare_places
+        choice.from_store = !cached && !hot && policies.prefer_cached;
+        choice.evicts = policies.avoid_evictions
             && !hot
             && view.residency.adapter_count(&t.id) >= engine.adapter_slots;
         let known = in_use.get(&t.id).map_or(0, |u| u.len() as u32);
@@ -386,7 +386,7 @@
     targets: &[Arc<Target>],
     in_use: &Map<Name, Vec<AdapterRef>>,
 ) -> Option<SlotTimePrice> {
-    criteria.group.filter(|_| node.policies().place_time)?;
+    criteria.group.filter(|_| node.policies().slot_price)?;
     let used = targets
         .iter()
         .map(|t| in_use.get(&t.id).map_or(0, Vec::len));
--- a/crates/comfreyhall-node/src/quotas/mod.rs
+++ b/crates/comfreyhall-node/src/quotas/mod.rs
@@ -18,7 +18,7 @@
 };
 
 use comfreyhall_domain::{Config, Map, Name};
-use comfreyhall_settings::CapWay;
+use comfreyhall_settings::QuotaMode;
 use comfreyhall_workspace::{
     GrantingLimiter, LendingLimiter, PeerProcess, PlacedQuota, QuotaSnapshot, RateLimiter,
     ReserveOutcome, SharingLimiter, Tolerance,
@@ -230,14 +230,14 @@
 fn limiter(node: &Node) -> Box<dyn RateLimiter> {
     let settings = node.settings();
     let tolerance = Tolerance {
-        window_ms: (settings.caps.window_s * 1_000.0) as u64,
-        overshoot: settings.caps.overshoot,
-        slack: settings.caps.slack,
+        window_ms: (settings.quotas.window_s * 1_000.0) as u64,
+        overshoot: settings.quotas.overshoot,
+        slack: settings.quotas.slack,
     };
     let me = own_home(node);
-    match settings.caps.way {
-        CapWay::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
-        CapWay::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
+    match settings.quotas.mode {
+        QuotaMode::Lending => Box::new(LendingLimiter::new(me, tolerance, clock::now())),
+        QuotaMode::Sharing => Box::new(SharingLimiter::new(me, tolerance)),
     }
 }
 
--- a/crates/comfreyhall-node/src/serve/send.rs
+++ b/crates/comfreyhall-node/src/serve/send.rs
@@ -47,7 +47,7 @@
     /// How long to wait for the first event before another target is tried.
     pub(super) fn first_event_timeout_ms(&self, plan: &Plan) -> u64 {
         let tries = self.tried.len() as u32 + 1;
-        let may_abandon = self.node.policies().patience;
+        let may_abandon = self.node.policies().abandon_silent;
         if !may_abandon || !choose::repeatable(&self.route) || tries >= self.route.max_attempts {
             return self.remaining_ms();
         }
