--- a/crates/comfreyhall-once/tests/once_fuzz.rs
+++ b/crates/comfreyhall-once/tests/once_fuzz.rs
@@ -131,7 +131,13 @@
         }
     }
 
-    fn continue_claim(&mut self, daemon: usize, key: usize, action: Action, fates: Vec<CallOutcome>) {
+    fn continue_claim(
+        &mut self,
+        daemon: usize,
+        key: usize,
+        action: Action,
+        fates: Vec<CallOutcome>,
+    ) {
         let daemon_state = &mut self.daemons[daemon];
         let Some(claim) = daemon_state.claims.remove(&key) else {
             return;
