--- a/crates/comfreyhall-daemon/src/outbound.rs
+++ b/crates/comfreyhall-daemon/src/outbound.rs
@@ -11,7 +11,7 @@
     Change, LimitShares, Notice, TargetSignals, parse_cooldown, parse_draining, parse_limit,
 };
 use comfreyhall_placement::EngineView;
-use comfreyhall_protocol::notice::{LEAVING, LIMIT, REST, values};
+use comfreyhall_protocol::notice::{COOLDOWN, DRAINING, LIMIT, values};
 use tonic::{Response, Status, metadata::MetadataMap};
 
 use crate::{app::App, error::RouteError};
@@ -137,10 +137,10 @@
     let mut odd = Vec::new();
     let limit = parse_limit(values(metadata, LIMIT), &mut odd);
     let mut rest_ms = match turned {
-        true => parse_cooldown(values(metadata, REST), &mut odd),
+        true => parse_cooldown(values(metadata, COOLDOWN), &mut odd),
         false => None,
     };
-    let leaving = parse_draining(values(metadata, LEAVING), &mut rest_ms, &mut odd);
+    let leaving = parse_draining(values(metadata, DRAINING), &mut rest_ms, &mut odd);
     let notice = Notice {
         limit,
         cooldown_ms: rest_ms,
--- a/crates/comfreyhall-protocol/src/notice.rs
+++ b/crates/comfreyhall-protocol/src/notice.rs
@@ -6,10 +6,10 @@
 pub const LIMIT: &str = "x-limit";
 
 /// Seconds for which the target wants nothing from the daemon that it turns away.
-pub const REST: &str = "retry-after";
+pub const COOLDOWN: &str = "retry-after";
 
 /// `1` if the target leaves.
-pub const LEAVING: &str = "x-leaving";
+pub const DRAINING: &str = "x-leaving";
 
 /// The values under `name`.
 pub fn values<'a>(metadata: &'a MetadataMap, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
--- a/crates/comfreyhall-standins/src/faults.rs
+++ b/crates/comfreyhall-standins/src/faults.rs
@@ -52,7 +52,7 @@
             put(notice::LIMIT, self.limit.to_string());
         }
         if self.leaving {
-            put(notice::LEAVING, "1".to_string());
+            put(notice::DRAINING, "1".to_string());
         }
     }
 }
@@ -115,7 +115,7 @@
         says.add(status.metadata_mut());
         let rest = says.rest_s.to_string();
         let rest = rest.parse().expect("numbers are metadata");
-        status.metadata_mut().insert(notice::REST, rest);
+        status.metadata_mut().insert(notice::COOLDOWN, rest);
         Err(status)
     }
 
--- a/crates/comfreyhall-telemetry/src/lib.rs
+++ b/crates/comfreyhall-telemetry/src/lib.rs
@@ -70,7 +70,7 @@
 /// runtime swallows the panic, and the process goes on with half of its
 /// duties dead and its locks poisoned. Instances are replaced at any time,
 /// so ending is the safe answer, and it is noticed.
-pub fn end_on_panic() {
+pub fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         report(info);
@@ -85,16 +85,16 @@
 
 /// Resolves on the first SIGINT or SIGTERM: the signals of a planned stop.
 pub async fn stop_signal() {
-    Stop::watch().asked().await;
+    StopSignals::watch().received().await;
 }
 
 /// The signals of a planned stop.
-pub struct Stop {
+pub struct StopSignals {
     term: Signal,
     interrupt: Signal,
 }
 
-impl Stop {
+impl StopSignals {
     fn watch() -> Self {
         Self {
             term: open(SignalKind::terminate()),
@@ -103,7 +103,7 @@
     }
 
     /// Resolves on the first SIGINT or SIGTERM since the watch began.
-    pub async fn asked(mut self) {
+    pub async fn received(mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
             _ = self.term.recv() => {}
@@ -122,7 +122,7 @@
 /// daemon that is gone right after its start.
 pub struct Signals {
     /// A planned stop.
-    pub stop: Stop,
+    pub stop: StopSignals,
     /// SIGHUP: the settings may have changed.
     pub hangup: Signal,
 }
@@ -131,7 +131,7 @@
     /// Begins to watch; to be called within a runtime.
     pub fn watch() -> Self {
         Self {
-            stop: Stop::watch(),
+            stop: StopSignals::watch(),
             hangup: open(SignalKind::hangup()),
         }
     }
--- a/crates/comfreyhall/src/bin/comfreyhall-standin.rs
+++ b/crates/comfreyhall/src/bin/comfreyhall-standin.rs
@@ -27,7 +27,7 @@
 fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
     comfreyhall_telemetry::init_logs(&args.log);
-    comfreyhall_telemetry::end_on_panic();
+    comfreyhall_telemetry::abort_on_panic();
     let settings = Settings::load(&args.settings)?;
     let wanted = |name: &str| args.only.is_empty() || args.only.iter().any(|o| o == name);
     let runtime = tokio::runtime::Runtime::new()?;
--- a/crates/comfreyhall/src/bin/comfreyhalld.rs
+++ b/crates/comfreyhall/src/bin/comfreyhalld.rs
@@ -29,7 +29,7 @@
 
 fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
-    comfreyhall_telemetry::end_on_panic();
+    comfreyhall_telemetry::abort_on_panic();
     if args.platform {
         return on_platform(&args);
     }
