--- a/crates/comfreyhall-cli/src/account.rs
+++ b/crates/comfreyhall-cli/src/account.rs
@@ -1,9 +1,10 @@
-//! Where the requests of a while went, from the logs of all daemons.
+//! `comfreyhall account`: counts the requests in the logs of all daemons by
+//! outcome.
 //!
-//! Every request that a daemon took ends in one line; the account counts each
-//! once, by route and by what became of it, and names one main cause for each
-//! that was not answered within its objective. A request is one attempt of a
-//! caller: one that was refused and came back counts twice.
+//! Each request that a daemon accepted is counted once, by route and outcome,
+//! with one main cause if it was not answered within its latency objective. A
+//! request is one attempt of a caller: one that was refused and then sent again
+//! counts twice.
 
 use std::collections::BTreeMap;
 
@@ -12,168 +13,184 @@
 
 use crate::{
     args::AccountCmd,
-    lines::{Line, read},
+    lines::{LogLine, read},
     output,
 };
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Fate {
-    /// Answered within the objective of its route.
+pub(crate) enum RequestOutcome {
+    /// Answered within the latency objective of its route.
     InTime,
-    /// Answered later.
+    /// Answered after the latency objective.
     Late,
-    /// Told that it has not run.
+    /// Refused with the statement that it did not run.
     Refused,
-    /// Ended without a whole answer, or with a failure.
+    /// Ended with an error or an incomplete answer.
     Failed,
-    /// Its caller left.
-    Left,
-    /// Its log ends before it does: its daemon died, or lines are missing.
+    /// The caller disconnected.
+    #[serde(rename = "left")]
+    Disconnected,
+    /// No line shows its end: its daemon died, or lines are missing.
     Unfinished,
 }
 
-/// The end of one request.
+/// The outcome and timings of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct End {
-    /// When its last line was written, in Unix ms.
-    at: u64,
+struct RequestEnd {
+    /// Time of its last line, in Unix ms.
+    at_ms: u64,
     route: String,
-    fate: Fate,
-    /// Empty if it was answered in time.
+    outcome: RequestOutcome,
+    /// Main cause; empty if it was answered in time.
     cause: String,
-    /// Ms to the first event or the answer; 0 if there was none.
-    first: u64,
-    /// Ms of waiting for adapters.
-    stall: u64,
+    /// Time to the first event or the answer; 0 if there was none.
+    first_ms: u64,
+    /// Time spent waiting for adapters.
+    stall_ms: u64,
 }
 
-/// The middle, the tenth and the hundredth slowest, in ms.
+/// Latency percentiles, in ms.
 #[derive(Debug, Default, PartialEq, Eq, Serialize)]
-struct Spread {
+struct Percentiles {
     p50: u64,
     p90: u64,
     p99: u64,
 }
 
-/// All requests of one route.
+/// The requests of one route.
 #[derive(Debug, Serialize)]
-struct RouteAccount {
+struct RouteSummary {
     route: String,
     requests: usize,
-    fates: BTreeMap<Fate, usize>,
-    /// Why requests were not answered in time, the most frequent first.
+    #[serde(rename = "fates")]
+    outcomes: BTreeMap<RequestOutcome, usize>,
+    /// Causes of requests that were not answered in time, most frequent first.
     causes: Vec<(String, usize)>,
-    first_ms: Spread,
-    stall_ms: Spread,
+    first_ms: Percentiles,
+    stall_ms: Percentiles,
 }
 
-/// The whole account.
+/// The result of the command.
 #[derive(Debug, Serialize)]
-pub(crate) struct Account {
-    /// Requests in the logs; every one is in a route.
+pub(crate) struct Summary {
+    /// All requests in the logs; each belongs to exactly one route.
     requests: usize,
-    routes: Vec<RouteAccount>,
-    /// Requests that ended in each second, by fate; the first second is 0.
-    seconds: Vec<BTreeMap<Fate, usize>>,
-    /// Lines that the daemons left out to bound their logs.
-    left_out: u64,
+    routes: Vec<RouteSummary>,
+    /// Requests that ended in each second, by outcome; index 0 is the first second.
+    seconds: Vec<BTreeMap<RequestOutcome, usize>>,
+    /// Lines that the daemons dropped to bound the size of their logs.
+    #[serde(rename = "left_out")]
+    dropped_lines: u64,
 }
 
-fn spread(mut all: Vec<u64>) -> Spread {
+fn percentiles(mut all: Vec<u64>) -> Percentiles {
     all.sort_unstable();
     let Some(last) = all.len().checked_sub(1) else {
-        return Spread::default();
+        return Percentiles::default();
     };
-    let at = |percent: usize| all[last * percent / 100];
-    Spread {
-        p50: at(50),
-        p90: at(90),
-        p99: at(99),
+    let value_at = |percent: usize| all[last * percent / 100];
+    Percentiles {
+        p50: value_at(50),
+        p90: value_at(90),
+        p99: value_at(99),
     }
 }
 
 /// The main cause of a late answer.
-fn late_cause(line: &Line, waited: u64) -> &'static str {
-    if line.number("sends") > 1 {
+fn late_cause(line: &LogLine, latency_ms: u64) -> &'static str {
+    if line.u64_field("sends") > 1 {
         "an earlier send failed"
-    } else if line.number("stall") * 2 >= waited {
+    } else if line.u64_field("stall") * 2 >= latency_ms {
         "wait for a place or a load of its adapter"
     } else {
         "queue at the target and its own work"
     }
 }
 
-/// What an answer that took `waited` ms to begin was.
-fn answered(line: &Line, waited: u64) -> (Fate, String) {
-    if waited <= line.number("aim") {
-        return (Fate::InTime, String::new());
+/// Classifies an answer by the `latency_ms` until it began.
+fn classify_answer(line: &LogLine, latency_ms: u64) -> (RequestOutcome, String) {
+    if latency_ms <= line.u64_field("aim") {
+        return (RequestOutcome::InTime, String::new());
     }
-    (Fate::Late, late_cause(line, waited).to_string())
+    (
+        RequestOutcome::Late,
+        late_cause(line, latency_ms).to_string(),
+    )
 }
 
-/// The end of a request, from its lines in time order.
-fn end(lines: &[&Line]) -> End {
+/// Determines the end of a request from its lines, which are in time order.
+fn request_end(lines: &[&LogLine]) -> RequestEnd {
     let mut route = String::new();
-    let mut sent = String::new();
-    let mut known = (Fate::Unfinished, "the log ends before it does".to_string());
-    let (mut first, mut stall) = (0, 0);
+    let mut send_error = String::new();
+    let mut verdict = (
+        RequestOutcome::Unfinished,
+        "the log ends before it does".to_string(),
+    );
+    let (mut first_ms, mut stall_ms) = (0, 0);
     for line in lines {
-        if !line.text("route").is_empty() {
-            route = line.text("route").to_string();
+        if !line.str_field("route").is_empty() {
+            route = line.str_field("route").to_string();
         }
-        stall = stall.max(line.number("stall"));
-        known = match line.text("msg") {
+        stall_ms = stall_ms.max(line.u64_field("stall"));
+        verdict = match line.str_field("msg") {
             "streamed" => {
-                first = line.number("first");
-                answered(line, first)
-            }
-            "answered" if line.number("status") >= 500 => {
-                (Fate::Failed, "the target's own failure".to_string())
+                first_ms = line.u64_field("first");
+                classify_answer(line, first_ms)
             }
+            "answered" if line.u64_field("status") >= 500 => (
+                RequestOutcome::Failed,
+                "the target's own failure".to_string(),
+            ),
             "answered" => {
-                first = line.number("ms");
-                answered(line, first)
+                first_ms = line.u64_field("ms");
+                classify_answer(line, first_ms)
             }
-            "given up" => match line.text("answer").starts_with("NotRun") {
-                true => (Fate::Refused, line.text("why").to_string()),
-                false => (Fate::Failed, format!("{}: {sent}", line.text("why"))),
+            "given up" => match line.str_field("answer").starts_with("NotRun") {
+                true => (RequestOutcome::Refused, line.str_field("why").to_string()),
+                false => (
+                    RequestOutcome::Failed,
+                    format!("{}: {send_error}", line.str_field("why")),
+                ),
             },
-            "passed on a target's failure" => {
-                (Fate::Failed, "the target's own failure".to_string())
-            }
-            "stream given up" => (Fate::Failed, "its stream broke off".to_string()),
-            "caller left" if line.number("first") > 0 => {
-                (Fate::Left, "within its stream".to_string())
-            }
-            "caller left" => (Fate::Left, "before an answer".to_string()),
-            "no route" => (Fate::Refused, "no route".to_string()),
-            refused if refused.starts_with("refused: ") => {
-                (Fate::Refused, refused["refused: ".len()..].to_string())
-            }
+            "passed on a target's failure" => (
+                RequestOutcome::Failed,
+                "the target's own failure".to_string(),
+            ),
+            "stream given up" => (RequestOutcome::Failed, "its stream broke off".to_string()),
+            "caller left" if line.u64_field("first") > 0 => (
+                RequestOutcome::Disconnected,
+                "within its stream".to_string(),
+            ),
+            "caller left" => (RequestOutcome::Disconnected, "before an answer".to_string()),
+            "no route" => (RequestOutcome::Refused, "no route".to_string()),
+            refused if refused.starts_with("refused: ") => (
+                RequestOutcome::Refused,
+                refused["refused: ".len()..].to_string(),
+            ),
             "send" => {
-                sent = line.text("why").to_string();
-                known
+                send_error = line.str_field("why").to_string();
+                verdict
             }
-            _ => known,
+            _ => verdict,
         };
     }
-    End {
-        at: lines.last().map_or(0, |l| l.at),
+    RequestEnd {
+        at_ms: lines.last().map_or(0, |l| l.at_ms),
         route,
-        fate: known.0,
-        cause: known.1,
-        first,
-        stall,
+        outcome: verdict.0,
+        cause: verdict.1,
+        first_ms,
+        stall_ms,
     }
 }
 
-fn route_account(route: &str, ends: &[&End]) -> RouteAccount {
-    let mut fates = BTreeMap::new();
+fn summarize_route(route: &str, ends: &[&RequestEnd]) -> RouteSummary {
+    let mut outcomes = BTreeMap::new();
     let mut causes: BTreeMap<&str, usize> = BTreeMap::new();
     for end in ends {
-        *fates.entry(end.fate).or_default() += 1;
+        *outcomes.entry(end.outcome).or_default() += 1;
         if !end.cause.is_empty() {
             *causes.entry(&end.cause).or_default() += 1;
         }
@@ -183,84 +200,87 @@
         .map(|(cause, n)| (cause.to_string(), n))
         .collect();
     causes.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
-    let firsts = ends.iter().map(|e| e.first).filter(|ms| *ms > 0);
-    RouteAccount {
+    let firsts = ends.iter().map(|e| e.first_ms).filter(|ms| *ms > 0);
+    RouteSummary {
         route: route.to_string(),
         requests: ends.len(),
-        fates,
+        outcomes,
         causes,
-        first_ms: spread(firsts.collect()),
-        stall_ms: spread(ends.iter().map(|e| e.stall).collect()),
+        first_ms: percentiles(firsts.collect()),
+        stall_ms: percentiles(ends.iter().map(|e| e.stall_ms).collect()),
     }
 }
 
-/// Accounts for every request in `lines`.
-pub(crate) fn account(lines: &[Line]) -> Account {
-    let mut requests: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-    for line in lines.iter().filter(|l| l.text("part") == "serve") {
-        requests.entry(line.text("id")).or_default().push(line);
+/// Summarizes all requests in `lines`.
+pub(crate) fn summarize(lines: &[LogLine]) -> Summary {
+    let mut requests: BTreeMap<&str, Vec<&LogLine>> = BTreeMap::new();
+    for line in lines.iter().filter(|l| l.str_field("part") == "serve") {
+        requests.entry(line.str_field("id")).or_default().push(line);
     }
     let ends = requests.into_values().map(|mut lines| {
-        lines.sort_by_key(|l| l.at);
-        end(&lines)
+        lines.sort_by_key(|l| l.at_ms);
+        request_end(&lines)
     });
-    let ends: Vec<End> = ends.collect();
-    let start = ends.iter().map(|e| e.at).min().unwrap_or(0);
-    let mut routes: BTreeMap<&str, Vec<&End>> = BTreeMap::new();
-    let mut seconds: Vec<BTreeMap<Fate, usize>> = Vec::new();
+    let ends: Vec<RequestEnd> = ends.collect();
+    let start = ends.iter().map(|e| e.at_ms).min().unwrap_or(0);
+    let mut routes: BTreeMap<&str, Vec<&RequestEnd>> = BTreeMap::new();
+    let mut seconds: Vec<BTreeMap<RequestOutcome, usize>> = Vec::new();
     for end in &ends {
         routes.entry(&end.route).or_default().push(end);
-        let second = ((end.at - start) / 1_000) as usize;
+        let second = ((end.at_ms - start) / 1_000) as usize;
         if seconds.len() <= second {
             seconds.resize(second + 1, BTreeMap::new());
         }
-        *seconds[second].entry(end.fate).or_default() += 1;
+        *seconds[second].entry(end.outcome).or_default() += 1;
     }
-    Account {
+    Summary {
         requests: ends.len(),
         routes: routes
             .into_iter()
-            .map(|(route, ends)| route_account(route, &ends))
+            .map(|(route, ends)| summarize_route(route, &ends))
             .collect(),
         seconds,
-        left_out: lines
+        dropped_lines: lines
             .iter()
-            .filter(|l| l.text("msg") == "lines dropped")
-            .map(|l| l.number("count"))
+            .filter(|l| l.str_field("msg") == "lines dropped")
+            .map(|l| l.u64_field("count"))
             .sum(),
     }
 }
 
-const FATES: [(Fate, &str); 6] = [
-    (Fate::InTime, "in time"),
-    (Fate::Late, "late"),
-    (Fate::Refused, "refused"),
-    (Fate::Failed, "failed"),
-    (Fate::Left, "left"),
-    (Fate::Unfinished, "unfinished"),
+const OUTCOMES: [(RequestOutcome, &str); 6] = [
+    (RequestOutcome::InTime, "in time"),
+    (RequestOutcome::Late, "late"),
+    (RequestOutcome::Refused, "refused"),
+    (RequestOutcome::Failed, "failed"),
+    (RequestOutcome::Disconnected, "left"),
+    (RequestOutcome::Unfinished, "unfinished"),
 ];
 
-fn counts(fates: &BTreeMap<Fate, usize>) -> String {
-    let count = |(fate, name): &(Fate, &str)| {
-        let n = fates.get(fate).copied().unwrap_or(0);
+fn format_counts(outcomes: &BTreeMap<RequestOutcome, usize>) -> String {
+    let count = |(outcome, name): &(RequestOutcome, &str)| {
+        let n = outcomes.get(outcome).copied().unwrap_or(0);
         format!("{name} {n:>5}")
     };
-    FATES.iter().map(count).collect::<Vec<_>>().join("  ")
+    OUTCOMES.iter().map(count).collect::<Vec<_>>().join("  ")
 }
 
-fn show(account: &Account) -> String {
-    let mut out = format!("{} requests\n", account.requests);
-    if account.left_out > 0 {
-        out.push_str(&format!("{} lines were left out\n", account.left_out));
+fn format_summary(report: &Summary) -> String {
+    let mut out = format!("{} requests\n", report.requests);
+    if report.dropped_lines > 0 {
+        out.push_str(&format!(
+            "{} log lines were dropped\n",
+            report.dropped_lines
+        ));
     }
-    for route in &account.routes {
+    for route in &report.routes {
         let name = if route.route.is_empty() {
             "(none)"
         } else {
             &route.route
         };
         out.push_str(&format!("\n{name}: {} requests\n", route.requests));
-        out.push_str(&format!("  {}\n", counts(&route.fates)));
+        out.push_str(&format!("  {}\n", format_counts(&route.outcomes)));
         for (what, s) in [
             ("first event", &route.first_ms),
             ("wait for adapter", &route.stall_ms),
@@ -275,21 +295,21 @@
         }
     }
     out.push_str("\nsecond\n");
-    for (second, fates) in account.seconds.iter().enumerate() {
-        out.push_str(&format!("{second:>6}  {}\n", counts(fates)));
+    for (second, outcomes) in report.seconds.iter().enumerate() {
+        out.push_str(&format!("{second:>6}  {}\n", format_counts(outcomes)));
     }
     out
 }
 
-/// Prints the account of all requests in the logs.
+/// Prints the summary of all requests in the logs.
 pub(crate) fn run(cmd: AccountCmd, json: bool) -> eyre::Result<String> {
-    let account = account(&read(&cmd.logs)?);
-    if account.requests == 0 {
+    let report = summarize(&read(&cmd.logs)?);
+    if report.requests == 0 {
         return Err(eyre!(
-            "no line is about a request; give the logs of every daemon"
+            "no log line mentions a request; pass the logs of every daemon"
         ));
     }
-    Ok(output::render(json, &account, || show(&account)))
+    Ok(output::render(json, &report, || format_summary(&report)))
 }
 
 #[cfg(test)]
--- a/crates/comfreyhall-cli/src/account_tests.rs
+++ b/crates/comfreyhall-cli/src/account_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::lines::parse;
 
-/// Seven requests: one of each fate, and one answered at its second send.
+/// Seven requests: one for each outcome, and one that was answered at its second send.
 const LOG: &str = r#"
 0 a {"t":100,"part":"serve","msg":"streamed","id":"r1","route":"g","first":400,"stall":0,"aim":1000,"sends":1}
 0 a {"t":1200,"part":"serve","msg":"adapter not placed","id":"r2","why":"no place fell free in time"}
@@ -17,17 +17,17 @@
 "#;
 
 #[test]
-fn account_every_request_once() {
-    let account = account(&parse(LOG, "log"));
-    assert_eq!(account.requests, 7);
-    let of_routes: usize = account.routes.iter().map(|r| r.requests).sum();
-    let fates = account.routes.iter().flat_map(|r| r.fates.values());
-    let of_seconds = account.seconds.iter().flat_map(|s| s.values());
-    assert_eq!(of_routes, 7);
-    assert_eq!(fates.sum::<usize>(), 7);
-    assert_eq!(of_seconds.sum::<usize>(), 7);
-    // Every request that was not answered in time has one cause.
-    let causes = account.routes.iter().flat_map(|r| &r.causes);
+fn summarize_counts_each_request_once() {
+    let report = summarize(&parse(LOG, "log"));
+    assert_eq!(report.requests, 7);
+    let by_route: usize = report.routes.iter().map(|r| r.requests).sum();
+    let outcomes = report.routes.iter().flat_map(|r| r.outcomes.values());
+    let by_second = report.seconds.iter().flat_map(|s| s.values());
+    assert_eq!(by_route, 7);
+    assert_eq!(outcomes.sum::<usize>(), 7);
+    assert_eq!(by_second.sum::<usize>(), 7);
+    // Every request that was not answered in time has exactly one cause.
+    let causes = report.routes.iter().flat_map(|r| &r.causes);
     assert_eq!(causes.map(|(_, n)| n).sum::<usize>(), 6);
-    insta::assert_snapshot!(show(&account));
+    insta::assert_snapshot!(format_summary(&report));
 }
--- a/crates/comfreyhall-cli/src/args.rs
+++ b/crates/comfreyhall-cli/src/args.rs
@@ -11,7 +11,7 @@
     /// print JSON instead of text
     #[argh(switch)]
     pub json: bool,
-    /// who makes the change, for the audit trail
+    /// name of the person or program that makes the change, for the audit trail
     #[argh(option, default = "default_actor()")]
     pub actor: String,
     #[argh(subcommand)]
@@ -57,7 +57,7 @@
     /// a label key=value; may repeat
     #[argh(option)]
     pub(crate) label: Vec<String>,
-    /// promised longest wait for an adapter load, in ms
+    /// longest promised wait for an adapter load, in ms
     #[argh(option, default = "2000")]
     pub(crate) stall_ms: u64,
     /// priority of the customer's requests
@@ -127,7 +127,7 @@
     pub(crate) file: String,
 }
 
-/// Ask which entry instances to use.
+/// List the addresses of the entry instances to use.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "addresses")]
 pub(crate) struct AddressesCmd {
@@ -166,14 +166,14 @@
     pub(crate) instance: String,
 }
 
-/// Drive the deployment with a shifting popularity workload.
+/// Put load on the deployment, with an adapter popularity that shifts halfway.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "bench")]
 pub(crate) struct BenchCmd {
-    /// seconds to run and count, 1 to 600
+    /// seconds of the measured run, 1 to 600
     #[argh(option, default = "10")]
     pub(crate) seconds: u64,
-    /// seconds to run first without counting, 0 to 600
+    /// seconds of warm-up before the measured run, 0 to 600
     #[argh(option, default = "0")]
     pub(crate) warmup: u64,
     /// concurrent callers, 1 to 512
@@ -185,7 +185,7 @@
     /// tokens per request
     #[argh(option, default = "16")]
     pub(crate) max_tokens: u32,
-    /// label for the report, such as the policy under test
+    /// label in the report, such as the policy under test
     #[argh(option, default = "String::from(\"run\")")]
     pub(crate) label: String,
     /// draw from only the most popular N adapters (all when absent)
@@ -205,7 +205,7 @@
     pub(crate) faults: String,
 }
 
-/// Show what each daemon spends over a window: CPU, memory, control traffic.
+/// Show the resource use of each daemon over a window: CPU, memory, control traffic.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "stats")]
 pub(crate) struct StatsCmd {
@@ -214,7 +214,7 @@
     pub(crate) window: u64,
 }
 
-/// Apply or show the rules in force.
+/// Apply or show the active rules.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "rules")]
 pub(crate) struct RulesCmd {
@@ -224,10 +224,10 @@
     /// the rules file (JSON with comments), for apply
     #[argh(positional)]
     pub(crate) file: Option<String>,
-    /// the version you edited; refused if another one is in force by now
+    /// the version that the file is based on; rejected if another version is active now
     #[argh(option)]
     pub(crate) base: Option<u64>,
-    /// wait until every instance that answers has the new version in force
+    /// wait until the new version is active on every instance that answers
     #[argh(switch)]
     pub(crate) wait: bool,
 }
@@ -257,10 +257,10 @@
     /// table, weights, objects, or the id of an engine or service
     #[argh(positional)]
     pub(crate) target: String,
-    /// refuse every call
+    /// reject every call
     #[argh(switch)]
     pub(crate) down: bool,
-    /// answer this many ms late
+    /// delay every answer by this many ms
     #[argh(option, default = "0")]
     pub(crate) slow_ms: u64,
     /// share of answers lost after they took effect, 0 to 1
@@ -272,39 +272,40 @@
     /// cold restart of an engine: drop every slot and run
     #[argh(switch)]
     pub(crate) restart: bool,
-    /// requests a second that an engine or service names as its limit
+    /// rate limit that an engine or service announces, in requests per second
     #[argh(option, default = "0.0")]
     pub(crate) limit: f64,
-    /// seconds of rest that an engine or service asks of all, turning them away
+    /// cooldown in seconds that an engine or service asks of all callers while it
+    /// rejects their requests
     #[argh(option, default = "0.0")]
     pub(crate) rest_s: f64,
-    /// an engine or service says that it leaves
+    /// an engine or service announces that it is draining
     #[argh(switch)]
     pub(crate) leaving: bool,
 }
 
-/// Tell the story of one request, or of one configuration, from the logs of several
-/// daemons.
+/// Show the log lines about one request, or about one configuration, from the logs
+/// of several daemons.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct ExplainCmd {
     /// the request's id, or the configuration's version
     #[argh(positional)]
     pub(crate) id: String,
-    /// tell of the configuration of this version
+    /// show the configuration with this version
     #[argh(switch)]
     pub(crate) change: bool,
-    /// log files, of every daemon that may have seen it
+    /// log files of every daemon that may have handled it
     #[argh(positional)]
     pub(crate) logs: Vec<String>,
 }
 
-/// Say where the requests in the logs of all daemons went, and why those that
-/// were not answered in time were not.
+/// Count the requests in the logs of all daemons by outcome, with the cause of
+/// each that was not answered in time.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "account")]
 pub(crate) struct AccountCmd {
-    /// log files, of every daemon of that time
+    /// log files of every daemon from that time
     #[argh(positional)]
     pub(crate) logs: Vec<String>,
 }
--- a/crates/comfreyhall-cli/src/bench/caller.rs
+++ b/crates/comfreyhall-cli/src/bench/caller.rs
@@ -1,4 +1,5 @@
-//! One caller: asks where to connect, sends, checks, and comes back as told.
+//! A simulated caller: looks up addresses, sends requests, checks the answers and
+//! retries after the delay that it is given.
 
 use std::{
     sync::Arc,
@@ -12,35 +13,35 @@
 use rand_distr::{Distribution, Zipf};
 use serde_json::Value;
 
-use super::report::{Attempt, Journal, Tally, Told};
+use super::report::{Attempt, AttemptResult, RequestRecord, Tally};
 use crate::{
     catalog::seed_adapter,
-    client::{self, HttpClient, Reply, Send},
+    client::{self, HttpCall, HttpClient, Reply},
 };
 
-/// Share of requests that go to the suddenly popular adapter after the shift.
+/// Share of requests for the newly popular adapter after the shift.
 const SHIFT_SHARE: f64 = 0.3;
 
-/// Longest one attempt may take before the caller tries elsewhere.
+/// Timeout of one attempt; the caller then tries another address.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longest a caller keeps trying one request.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which a caller stops retrying a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Attempts of one request.
-const ATTEMPTS: usize = 200;
+/// Largest number of attempts for one request.
+const MAX_ATTEMPTS: usize = 200;
 
-/// Unknown outcomes after which a caller stops asking about a request that
-/// must run at most once.
-const DOUBTS: usize = 8;
+/// Unknown outcomes after which a caller stops retrying a request that must run
+/// at most once.
+const MAX_UNKNOWN: usize = 8;
 
-/// Pause before an attempt after an unknown outcome.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the attempt that follows an unknown outcome.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest an address query may take.
+/// Timeout of an address query.
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What every caller of a run shares.
+/// The workload of a run, which all its callers share.
 pub(super) struct Plan {
     /// Entry instances that answer address queries.
     pub(super) entries: Vec<String>,
@@ -50,20 +51,21 @@
     pub(super) max_tokens: u32,
     pub(super) seed: u64,
     /// Share of requests that must run at most once.
-    pub(super) once: f64,
+    pub(super) once_share: f64,
     /// Share of requests that are non-idempotent calls to plain services.
-    pub(super) plain: f64,
+    pub(super) plain_share: f64,
     /// Share of completions that are streamed.
-    pub(super) stream: f64,
+    pub(super) stream_share: f64,
     pub(super) start: Instant,
-    /// Until then nothing is counted: slots fill from cold.
+    /// Nothing is counted before this time, while the adapter slots fill.
     pub(super) warmup: Duration,
+    /// When the popularity of adapters changes.
     pub(super) shift: Duration,
     pub(super) end: Duration,
 }
 
-/// What a request asks for.
-enum Work {
+/// The payload of a request.
+enum Payload {
     Completion {
         model: (String, &'static str),
         prompt: String,
@@ -72,10 +74,10 @@
     Plain(String),
 }
 
-struct Ask {
+struct BenchRequest {
     key: String,
-    once: bool,
-    work: Work,
+    at_most_once: bool,
+    payload: Payload,
 }
 
 pub(super) struct Caller {
@@ -85,7 +87,7 @@
     zipf: Zipf<f64>,
     rng: StdRng,
     addresses: Vec<String>,
-    expires: Instant,
+    expires_at: Instant,
 }
 
 impl Caller {
@@ -94,7 +96,7 @@
             zipf: Zipf::new(plan.order.len() as f64, plan.zipf).map_err(|e| eyre!("{e}"))?,
             rng: StdRng::seed_from_u64(plan.seed ^ ((id as u64) << 32)),
             addresses: Vec::new(),
-            expires: plan.start,
+            expires_at: plan.start,
             id,
             plan,
             client,
@@ -104,122 +106,125 @@
     pub(super) async fn run(mut self) -> Tally {
         let plan = self.plan.clone();
         let mut tally = Tally::new();
-        let mut warm = false;
+        let mut measuring = false;
         let mut k = 0;
         while plan.start.elapsed() < plan.end {
-            if !warm && plan.start.elapsed() >= plan.warmup {
-                warm = true;
+            if !measuring && plan.start.elapsed() >= plan.warmup {
+                measuring = true;
                 tally = Tally::new();
             }
-            let ask = self.draw(k);
+            let request = self.next_request(k);
             k += 1;
-            let journal = self.request(&ask, &mut tally).await;
-            tally.journals.push(journal);
+            let record = self.run_request(&request, &mut tally).await;
+            tally.records.push(record);
         }
         tally
     }
 
-    /// Draws the caller's next request.
-    fn draw(&mut self, k: u64) -> Ask {
+    /// Draws the next request from the workload.
+    fn next_request(&mut self, k: u64) -> BenchRequest {
         let plan = self.plan.clone();
         let key = format!("b{}-{}-{k}", plan.seed, self.id);
-        let share: f64 = self.rng.random();
-        let stream = self.rng.random_bool(plan.stream);
-        let late = plan.start.elapsed() >= plan.shift;
-        let rank = if late && self.rng.random_bool(SHIFT_SHARE) {
+        let draw_value: f64 = self.rng.random();
+        let stream = self.rng.random_bool(plan.stream_share);
+        let shifted = plan.start.elapsed() >= plan.shift;
+        let rank = if shifted && self.rng.random_bool(SHIFT_SHARE) {
             plan.order.len() - 1
         } else {
             self.zipf.sample(&mut self.rng) as usize - 1
         };
         let prompt = format!("caller {} request {k}", self.id);
-        let work = if share < plan.plain {
-            Work::Plain(prompt)
+        let payload = if draw_value < plan.plain_share {
+            Payload::Plain(prompt)
         } else {
-            Work::Completion {
+            Payload::Completion {
                 model: (seed_adapter(plan.order[rank]), "v1"),
                 prompt,
                 stream,
             }
         };
-        Ask {
+        BenchRequest {
             key,
-            once: share < plan.plain + plan.once,
-            work,
+            at_most_once: draw_value < plan.plain_share + plan.once_share,
+            payload,
         }
     }
 
-    /// Sends a request until it is answered or the caller gives up.
-    async fn request(&mut self, ask: &Ask, tally: &mut Tally) -> Journal {
-        let began = Instant::now();
-        let mut journal = Journal {
-            once: ask.once,
+    /// Sends a request repeatedly until it is answered or the caller gives up.
+    async fn run_request(&mut self, request: &BenchRequest, tally: &mut Tally) -> RequestRecord {
+        let started = Instant::now();
+        let mut record = RequestRecord {
+            at_most_once: request.at_most_once,
             attempts: Vec::new(),
         };
         let mut avoid = None;
-        while journal.attempts.len() < ATTEMPTS && began.elapsed() < PATIENCE {
-            let Some(addr) = self.address(avoid.take()).await else {
-                tokio::time::sleep(DOUBT_PAUSE).await;
+        while record.attempts.len() < MAX_ATTEMPTS && started.elapsed() < REQUEST_TIMEOUT {
+            let Some(addr) = self.pick_address(avoid.take()).await else {
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            let id = format!("{}-{}", ask.key, journal.attempts.len());
-            let (told, wait) = self.attempt(ask, &id, &addr, tally).await;
-            journal.attempts.push(Attempt { id, told });
-            if matches!(told, Told::Answered | Told::Wrong) || journal.hopeless(DOUBTS) {
+            let id = format!("{}-{}", request.key, record.attempts.len());
+            let (result, delay) = self.attempt(request, &id, &addr, tally).await;
+            record.attempts.push(Attempt { id, result });
+            if matches!(result, AttemptResult::Answered | AttemptResult::Wrong)
+                || record.is_inconclusive(MAX_UNKNOWN)
+            {
                 break;
             }
-            if !comes_back(wait, began.elapsed()) {
+            if !may_retry(delay, started.elapsed()) {
                 break;
             }
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             avoid = Some(addr);
         }
-        journal
+        record
     }
 
-    /// An address to use, asking again when the last answer ran out.
-    async fn address(&mut self, avoid: Option<String>) -> Option<String> {
-        if Instant::now() >= self.expires {
-            self.refresh().await;
+    /// Picks an address other than `avoid` if possible; refreshes expired addresses first.
+    async fn pick_address(&mut self, avoid: Option<String>) -> Option<String> {
+        if Instant::now() >= self.expires_at {
+            self.refresh_addresses().await;
         }
         let others = self.addresses.iter().filter(|a| Some(*a) != avoid.as_ref());
         let others: Vec<&String> = others.collect();
-        let pick = others.choose(&mut self.rng).copied();
-        pick.or(self.addresses.first()).cloned()
+        let chosen = others.choose(&mut self.rng).copied();
+        chosen.or(self.addresses.first()).cloned()
     }
 
-    /// Asks up to three instances; keeps the old answer if none replies.
-    async fn refresh(&mut self) {
+    /// Queries the entry instances in random order until one answers; keeps the old
+    /// addresses if none does.
+    async fn refresh_addresses(&mut self) {
         let plan = self.plan.clone();
-        let some: Vec<String> = plan
+        let shuffled: Vec<String> = plan
             .entries
             .choose_multiple(&mut self.rng, plan.entries.len())
             .cloned()
             .collect();
-        for entry in some {
+        for entry in shuffled {
             let url = format!("http://{entry}/v1/addresses");
-            let asked = client::call(&self.client, Send::get(&url, ADDRESS_TIMEOUT)).await;
+            let asked = client::call(&self.client, HttpCall::get(&url, ADDRESS_TIMEOUT)).await;
             let Ok(reply) = asked else { continue };
             let Ok(answer) = serde_json::from_slice::<Addresses>(&reply.body) else {
                 continue;
             };
             if !answer.addresses.is_empty() {
                 self.addresses = answer.addresses;
-                self.expires = Instant::now() + Duration::from_millis(answer.ttl_ms);
+                self.expires_at = Instant::now() + Duration::from_millis(answer.ttl_ms);
                 return;
             }
         }
     }
 
-    /// Sends one attempt; returns what it was told and when to come back.
+    /// Sends one attempt; returns its result and the delay before a retry.
     async fn attempt(
         &self,
-        ask: &Ask,
+        request: &BenchRequest,
         id: &str,
         addr: &str,
         tally: &mut Tally,
-    ) -> (Told, Duration) {
-        let (url, body) = match &ask.work {
-            Work::Completion {
+    ) -> (AttemptResult, Duration) {
+        let (url, body) = match &request.payload {
+            Payload::Completion {
                 model,
                 prompt,
                 stream,
@@ -231,115 +236,130 @@
                     stream: *stream,
                     priority: 0,
                     deadline_ms: Some(ATTEMPT_TIMEOUT.as_millis() as u64),
-                    non_idempotent: ask.once,
+                    non_idempotent: request.at_most_once,
                 };
                 let body = serde_json::to_vec(&req).expect("requests serialise");
                 (format!("http://{addr}/v1/completions"), body)
             }
-            Work::Plain(text) => (
+            Payload::Plain(text) => (
                 format!("http://{addr}/v1/call/enquire"),
                 text.clone().into_bytes(),
             ),
         };
-        let send = Send {
+        let http_call = HttpCall {
             url: &url,
             body: Some(body),
             id: Some(id),
-            key: ask.once.then_some(ask.key.as_str()),
-            limit: ATTEMPT_TIMEOUT,
+            key: request.at_most_once.then_some(request.key.as_str()),
+            time_limit: ATTEMPT_TIMEOUT,
         };
-        let reply = match client::call(&self.client, send).await {
+        let reply = match client::call(&self.client, http_call).await {
             Ok(reply) => reply,
-            Err(client::CallError::NotSent) => return (Told::NotRun, DOUBT_PAUSE / 5),
-            Err(client::CallError::CutOff) => return (Told::CutOff, DOUBT_PAUSE),
-            Err(client::CallError::Late) => return (Told::Unknown, DOUBT_PAUSE),
+            Err(client::CallError::NotSent) => return (AttemptResult::NotRun, RETRY_DELAY / 5),
+            Err(client::CallError::ConnectionLost) => {
+                return (AttemptResult::Truncated, RETRY_DELAY);
+            }
+            Err(client::CallError::TimedOut) => return (AttemptResult::Unknown, RETRY_DELAY),
         };
         if reply.status != 200 {
-            return refused(&reply.body);
+            return parse_error(&reply.body);
         }
-        let told = self.check(ask, id, &reply);
-        if told.0 == Told::Answered {
-            tally.stall(reply.stall_ms.unwrap_or(0));
+        let result = self.check_answer(request, id, &reply);
+        if result.0 == AttemptResult::Answered {
+            tally.record_stall(reply.stall_ms.unwrap_or(0));
         }
-        told
+        result
     }
 
-    /// Checks an answer against what was asked.
-    fn check(&self, ask: &Ask, id: &str, reply: &Reply) -> (Told, Duration) {
-        let verdict = |right| if right { Told::Answered } else { Told::Wrong };
-        match &ask.work {
-            Work::Plain(text) => (verdict(reply.body == text.as_bytes()), Duration::ZERO),
-            Work::Completion {
+    /// Checks an answer against the expected one.
+    fn check_answer(
+        &self,
+        request: &BenchRequest,
+        id: &str,
+        reply: &Reply,
+    ) -> (AttemptResult, Duration) {
+        let result_if = |correct| {
+            if correct {
+                AttemptResult::Answered
+            } else {
+                AttemptResult::Wrong
+            }
+        };
+        match &request.payload {
+            Payload::Plain(text) => (result_if(reply.body == text.as_bytes()), Duration::ZERO),
+            Payload::Completion {
                 model: (adapter, version),
                 prompt,
                 stream,
             } => {
                 let text = expected_text(adapter, version, prompt, self.plan.max_tokens);
                 let model = format!("{adapter}@{version}");
-                let got = match stream {
-                    false => serde_json::from_slice(&reply.body).map_err(|_| Told::CutOff),
-                    true => joined(&reply.body),
+                let parsed = match stream {
+                    false => {
+                        serde_json::from_slice(&reply.body).map_err(|_| AttemptResult::Truncated)
+                    }
+                    true => join_stream(&reply.body),
                 };
-                match got {
+                match parsed {
                     Ok(v) => {
                         let v: Value = v;
-                        let right = v["id"] == id
+                        let correct = v["id"] == id
                             && v["model"] == model
                             && v["choices"][0]["text"] == text
                             && v["choices"][0]["finish_reason"] == "length";
-                        (verdict(right), Duration::ZERO)
+                        (result_if(correct), Duration::ZERO)
                     }
-                    Err(told) => (told, DOUBT_PAUSE),
+                    Err(result) => (result, RETRY_DELAY),
                 }
             }
         }
     }
 }
 
-/// Whether a caller that has waited for `elapsed` comes back after `wait`: not
-/// beyond its patience.
-fn comes_back(wait: Duration, elapsed: Duration) -> bool {
-    elapsed + wait < PATIENCE
+/// Whether a caller that has spent `elapsed` on a request may retry it after
+/// `delay`, within the request timeout.
+fn may_retry(delay: Duration, elapsed: Duration) -> bool {
+    elapsed + delay < REQUEST_TIMEOUT
 }
 
-/// What an error answer says, and when to come back.
-fn refused(body: &[u8]) -> (Told, Duration) {
+/// Parses an error body into the result and the delay before a retry.
+fn parse_error(body: &[u8]) -> (AttemptResult, Duration) {
     match serde_json::from_slice::<ErrorBody>(body) {
         Ok(e) => {
-            let wait = e.error.retry_after_ms.map(Duration::from_millis);
-            let told = match e.error.outcome {
-                Outcome::NotRun => Told::NotRun,
-                Outcome::Unknown => Told::Unknown,
+            let delay = e.error.retry_after_ms.map(Duration::from_millis);
+            let result = match e.error.outcome {
+                Outcome::NotRun => AttemptResult::NotRun,
+                Outcome::Unknown => AttemptResult::Unknown,
             };
-            (told, wait.unwrap_or(DOUBT_PAUSE))
+            (result, delay.unwrap_or(RETRY_DELAY))
         }
-        Err(_) => (Told::Unknown, DOUBT_PAUSE),
+        Err(_) => (AttemptResult::Unknown, RETRY_DELAY),
     }
 }
 
 /// Joins the events of a stream into one answer.
 ///
-/// A stream that ends without `[DONE]` was cut off, unless its last event
-/// says why it ended.
-fn joined(body: &[u8]) -> Result<Value, Told> {
+/// A stream that ends without `[DONE]` was truncated, unless its last event is an
+/// error.
+fn join_stream(body: &[u8]) -> Result<Value, AttemptResult> {
     let raw = String::from_utf8_lossy(body);
     let events: Vec<&str> = raw
         .lines()
         .filter_map(|l| l.strip_prefix("data: "))
         .collect();
     let Some((last, chunks)) = events.split_last() else {
-        return Err(Told::CutOff);
+        return Err(AttemptResult::Truncated);
     };
     if *last != "[DONE]" {
         return Err(match serde_json::from_str::<ErrorBody>(last) {
-            Ok(_) => Told::Unknown,
-            Err(_) => Told::CutOff,
+            Ok(_) => AttemptResult::Unknown,
+            Err(_) => AttemptResult::Truncated,
         });
     }
     let mut text = String::new();
     let mut whole = Value::Null;
     for chunk in chunks {
-        let v: Value = serde_json::from_str(chunk).map_err(|_| Told::Wrong)?;
+        let v: Value = serde_json::from_str(chunk).map_err(|_| AttemptResult::Wrong)?;
         text.push_str(v["choices"][0]["text"].as_str().unwrap_or_default());
         whole = v;
     }
--- a/crates/comfreyhall-cli/src/bench/caller_tests.rs
+++ b/crates/comfreyhall-cli/src/bench/caller_tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards against a caller that is told to come back in an hour, and does.
+/// Guards against a caller that is asked to retry in an hour and waits for it.
 #[test]
-fn comes_back_within_patience_only() {
-    assert!(comes_back(Duration::from_secs(5), Duration::ZERO));
-    assert!(!comes_back(Duration::from_secs(3_600), Duration::ZERO));
-    assert!(!comes_back(Duration::from_secs(5), PATIENCE));
+fn may_retry_within_timeout_only() {
+    assert!(may_retry(Duration::from_secs(5), Duration::ZERO));
+    assert!(!may_retry(Duration::from_secs(3_600), Duration::ZERO));
+    assert!(!may_retry(Duration::from_secs(5), REQUEST_TIMEOUT));
 }
--- a/crates/comfreyhall-cli/src/bench/deadly.rs
+++ b/crates/comfreyhall-cli/src/bench/deadly.rs
@@ -1,7 +1,7 @@
-//! One request that ends the engine that begins it, sent again and again.
+//! Sends a deadly request, one that crashes each engine that starts it.
 //!
-//! Its caller never gives up and uses every daemon in turn. The run shows how
-//! often engines began it until all daemons held it back.
+//! Its caller never stops retrying and uses every daemon in turn. The run shows
+//! how often engines started the request before all daemons quarantined it.
 
 use std::time::{Duration, Instant};
 
@@ -12,36 +12,38 @@
 use super::oracle;
 use crate::{
     catalog::seed_adapter,
-    client::{self, HttpClient, Send},
+    client::{self, HttpCall, HttpClient},
 };
 
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(150);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Longest one attempt may take.
+/// Timeout of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the request ids of all attempts begin with.
-const ID: &str = "deadly-";
+/// Prefix of the request ids of all attempts.
+const ID_PREFIX: &str = "deadly-";
 
-/// What became of the deadly request.
+/// What happened to the deadly request.
 #[derive(Debug, Default, Serialize, PartialEq, Eq)]
-pub(crate) struct Deadly {
-    /// Times its caller sent it.
+pub(crate) struct DeadlyReport {
+    /// Number of attempts that the caller sent.
     pub(crate) attempts: u64,
-    /// Times it was answered that it is held back.
-    pub(crate) held: u64,
-    /// Times an engine began it, and ended.
-    pub(crate) begun: u64,
+    /// Number of answers that reported the request as quarantined.
+    #[serde(rename = "held")]
+    pub(crate) quarantined: u64,
+    /// Number of times that an engine started it, and crashed.
+    #[serde(rename = "begun")]
+    pub(crate) started: u64,
 }
 
-/// Sends it until `until`; `None` if no stand-in is ended by a prompt.
-pub(super) async fn repeat(
+/// Sends the request until `until`; `None` if the settings name no deadly prompt.
+pub(super) async fn send_repeatedly(
     s: Settings,
     client: HttpClient,
     adapter: u32,
     until: Instant,
-) -> Option<Deadly> {
+) -> Option<DeadlyReport> {
     let prompt = s.platform.deadly_prompt.to_string();
     if prompt.is_empty() {
         return None;
@@ -56,31 +58,31 @@
         non_idempotent: false,
     };
     let body = serde_json::to_vec(&request).expect("requests serialise");
-    let mut seen = Deadly::default();
+    let mut report = DeadlyReport::default();
     for instance in s.instances.iter().cycle() {
         if Instant::now() >= until {
             break;
         }
-        let id = format!("{ID}{}", seen.attempts);
-        let send = Send {
+        let id = format!("{ID_PREFIX}{}", report.attempts);
+        let http_call = HttpCall {
             url: &format!("http://{}/v1/completions", instance.listen),
             body: Some(body.clone()),
             id: Some(&id),
             key: None,
-            limit: ATTEMPT_TIMEOUT,
+            time_limit: ATTEMPT_TIMEOUT,
         };
-        seen.attempts += 1;
-        // Whatever else it is told, its caller comes again.
-        if let Ok(reply) = client::call(&client, send).await {
-            seen.held += u64::from(is_held(&reply.body));
+        report.attempts += 1;
+        // The caller retries after any other answer.
+        if let Ok(reply) = client::call(&client, http_call).await {
+            report.quarantined += u64::from(is_quarantined(&reply.body));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(ATTEMPT_INTERVAL).await;
     }
-    seen.begun = oracle::begun(&s, ID).await;
-    Some(seen)
+    report.started = oracle::count_starts(&s, ID_PREFIX).await;
+    Some(report)
 }
 
-fn is_held(body: &[u8]) -> bool {
+fn is_quarantined(body: &[u8]) -> bool {
     let error = serde_json::from_slice::<ErrorBody>(body);
     error.is_ok_and(|e| e.error.kind == "quarantined")
 }
--- a/crates/comfreyhall-cli/src/bench/faults.rs
+++ b/crates/comfreyhall-cli/src/bench/faults.rs
@@ -1,4 +1,4 @@
-//! Faults the load tool injects into the stand-ins, one after another.
+//! Faults that the load tool injects into the stand-ins, one after another.
 
 use std::time::{Duration, Instant};
 
@@ -11,31 +11,31 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 use tonic::transport::Endpoint;
 
-/// Shortest and longest time a fault lasts, in ms.
-const LASTS_MS: std::ops::Range<u64> = 500..2_500;
+/// Range of the duration of a fault, in ms.
+const DURATION_MS: std::ops::Range<u64> = 500..2_500;
 
 /// Pause between faults.
-const PAUSE: Duration = Duration::from_millis(300);
+const FAULT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest one fault order may take.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one fault command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Which faults a run injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// None.
+    /// No faults.
     None,
     /// Table service, object store and weight store.
     Platform,
     /// Engines and plain services.
     Targets,
-    /// Both, one of each at a time.
+    /// Both kinds, one of each at a time.
     Mix,
 }
 
 impl Kind {
-    pub(super) fn parse(word: &str) -> eyre::Result<Self> {
-        Ok(match word {
+    pub(super) fn parse(name: &str) -> eyre::Result<Self> {
+        Ok(match name {
             "none" => Self::None,
             "platform" => Self::Platform,
             "targets" => Self::Targets,
@@ -45,9 +45,9 @@
     }
 }
 
-/// A stand-in that takes fault orders.
+/// A stand-in that accepts fault commands.
 #[derive(Debug, Clone)]
-pub(crate) enum Target {
+pub(crate) enum StandIn {
     /// The table service.
     Table,
     /// The weight store.
@@ -60,9 +60,9 @@
     Plain(String),
 }
 
-impl Target {
-    /// The stand-in that the settings call `name`.
-    pub(crate) fn named(s: &Settings, name: &str) -> Option<Self> {
+impl StandIn {
+    /// The stand-in with this name in the settings.
+    pub(crate) fn by_name(s: &Settings, name: &str) -> Option<Self> {
         let engine = || s.engine(name).map(|e| Self::Engine(e.listen.clone()));
         let plain = || s.services.iter().find(|v| &*v.id == name);
         match name {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Sends the stand-in a fault order.
-    pub(crate) async fn order(&self, s: &Settings, order: FaultOrder) -> eyre::Result<()> {
+    /// Sends a fault command to the stand-in.
+    pub(crate) async fn set_faults(&self, s: &Settings, command: FaultOrder) -> eyre::Result<()> {
         let p = &s.platform;
         let addr = match self {
             Self::Table => &p.table,
@@ -83,13 +83,13 @@
             Self::Engine(a) | Self::Plain(a) => a,
         };
         let endpoint = Endpoint::from_shared(format!("http://{addr}"))?;
-        let channel = endpoint.timeout(ORDER_TIMEOUT).connect().await?;
+        let channel = endpoint.timeout(COMMAND_TIMEOUT).connect().await?;
         match self {
-            Self::Table => TableClient::new(channel).fault(order).await?,
-            Self::Weights => WeightsClient::new(channel).fault(order).await?,
-            Self::Objects => ObjectsClient::new(channel).fault(order).await?,
-            Self::Engine(_) => EngineClient::new(channel).fault(order).await?,
-            Self::Plain(_) => PlainClient::new(channel).fault(order).await?,
+            Self::Table => TableClient::new(channel).fault(command).await?,
+            Self::Weights => WeightsClient::new(channel).fault(command).await?,
+            Self::Objects => ObjectsClient::new(channel).fault(command).await?,
+            Self::Engine(_) => EngineClient::new(channel).fault(command).await?,
+            Self::Plain(_) => PlainClient::new(channel).fault(command).await?,
         };
         Ok(())
     }
@@ -131,7 +131,7 @@
     }
 }
 
-fn resting(rest_s: f64) -> FaultOrder {
+fn cooling_down(rest_s: f64) -> FaultOrder {
     FaultOrder {
         rest_s,
         ..FaultOrder::default()
@@ -145,20 +145,20 @@
     }
 }
 
-fn platform_fault(rng: &mut StdRng) -> (Target, FaultOrder) {
+fn platform_fault(rng: &mut StdRng) -> (StandIn, FaultOrder) {
     match rng.random_range(0..6) {
-        0 => (Target::Table, down()),
-        1 => (Target::Table, slow(300)),
-        2 => (Target::Table, lossy(0.5)),
-        3 => (Target::Objects, down()),
-        4 => (Target::Weights, failing(0.4)),
-        _ => (Target::Weights, down()),
+        0 => (StandIn::Table, down()),
+        1 => (StandIn::Table, slow(300)),
+        2 => (StandIn::Table, lossy(0.5)),
+        3 => (StandIn::Objects, down()),
+        4 => (StandIn::Weights, failing(0.4)),
+        _ => (StandIn::Weights, down()),
     }
 }
 
-fn target_fault(s: &Settings, rng: &mut StdRng) -> (Target, FaultOrder) {
+fn target_fault(s: &Settings, rng: &mut StdRng) -> (StandIn, FaultOrder) {
     let engine = s.engines.choose(rng).expect("settings name an engine");
-    let engine = Target::Engine(engine.listen.clone());
+    let engine = StandIn::Engine(engine.listen.clone());
     match rng.random_range(0..8) {
         0 => (engine, restart()),
         1 => (engine, lossy(0.5)),
@@ -166,37 +166,37 @@
         3 => (engine, slow(200)),
         4 => (engine, failing(0.5)),
         5 => (engine, limited(rng.random_range(0.5..20.0))),
-        6 => (engine, resting(rng.random_range(0.5..3.0))),
+        6 => (engine, cooling_down(rng.random_range(0.5..3.0))),
         _ => match s.services.choose(rng) {
-            Some(v) => (Target::Plain(v.listen.clone()), lossy(0.5)),
+            Some(v) => (StandIn::Plain(v.listen.clone()), lossy(0.5)),
             None => (engine, restart()),
         },
     }
 }
 
-/// Injects faults of `kind` until `until`; returns how many.
+/// Injects faults of `kind` until `until`; returns their number.
 pub(super) async fn inject(s: Settings, kind: Kind, seed: u64, until: Instant) -> u64 {
     let mut rng = StdRng::seed_from_u64(seed ^ 0xfa17);
     let mut count = 0;
     while kind != Kind::None && Instant::now() < until {
-        let mut set = Vec::new();
+        let mut active = Vec::new();
         if matches!(kind, Kind::Platform | Kind::Mix) {
-            set.push(platform_fault(&mut rng));
+            active.push(platform_fault(&mut rng));
         }
         if matches!(kind, Kind::Targets | Kind::Mix) {
-            set.push(target_fault(&s, &mut rng));
+            active.push(target_fault(&s, &mut rng));
         }
-        for (target, order) in &set {
-            if target.order(&s, *order).await.is_ok() {
+        for (stand_in, command) in &active {
+            if stand_in.set_faults(&s, *command).await.is_ok() {
                 count += 1;
             }
         }
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-        tokio::time::sleep(lasts).await;
-        for (target, _) in &set {
-            let _ = target.order(&s, FaultOrder::default()).await;
+        let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+        tokio::time::sleep(duration).await;
+        for (stand_in, _) in &active {
+            let _ = stand_in.set_faults(&s, FaultOrder::default()).await;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(FAULT_INTERVAL).await;
     }
     count
 }
--- a/crates/comfreyhall-cli/src/bench/mod.rs
+++ b/crates/comfreyhall-cli/src/bench/mod.rs
@@ -1,13 +1,13 @@
 //! The load and experiment tool.
 //!
-//! It drives a running deployment the way callers would: a fixed number of
-//! callers ask which addresses to use and send requests for adapters drawn
-//! from a Zipf popularity, and halfway through, a rarely used adapter
-//! suddenly becomes the busiest. Meanwhile it may inject faults into the
-//! stand-ins (`faults`). Every answer is checked, and at the end what callers
-//! were told is held against what the stand-ins ran (`oracle`). It reports
-//! load stalls (time requests waited for an adapter load), batch efficiency
-//! (the used share of the engines' batch steps), and how many requests were
+//! Simulates a fixed number of callers against a running deployment. Each looks
+//! up the addresses to use and sends requests for adapters drawn from a Zipf
+//! distribution; halfway through the run, a rarely used adapter becomes the most
+//! requested one. Meanwhile the tool can inject faults into the stand-ins
+//! (`faults`). Every answer is checked, and after the run the answers are
+//! compared with what the stand-ins ran (`oracle`). The report has load stalls
+//! (time that requests waited for an adapter load), batch efficiency (the used
+//! share of the engines' batch steps), and the numbers of requests that were
 //! lost, doubled, cut off or misreported. The run is bounded in time and
 //! seeded.
 
@@ -31,12 +31,12 @@
 use caller::{Caller, Plan};
 use report::Tally;
 
-pub(crate) use faults::Target;
+pub(crate) use faults::StandIn;
 pub(crate) use report::Report;
 #[cfg(test)]
 pub(crate) use report::text;
 
-/// Summed (used, offered) sequence slots over all engine steps so far.
+/// Total (used, offered) sequence slots of all engine steps so far.
 async fn batch_totals(s: &Settings) -> (u64, u64) {
     let mut used = 0;
     let mut offered = 0;
@@ -53,7 +53,7 @@
     (used, offered)
 }
 
-fn check(cmd: &BenchCmd) -> eyre::Result<()> {
+fn check_args(cmd: &BenchCmd) -> eyre::Result<()> {
     if !(1..=600).contains(&cmd.seconds) || !(1..=512).contains(&cmd.callers) || cmd.warmup > 600 {
         bail!("bench takes 1 to 600 --seconds, 0 to 600 --warmup and 1 to 512 --callers");
     }
@@ -80,13 +80,13 @@
         zipf: s.workload.zipf,
         max_tokens: cmd.max_tokens,
         seed: cmd.seed,
-        once: cmd.once,
-        plain: if s.services.is_empty() {
+        once_share: cmd.once,
+        plain_share: if s.services.is_empty() {
             0.0
         } else {
             cmd.plain
         },
-        stream: cmd.stream,
+        stream_share: cmd.stream,
         start: Instant::now(),
         warmup,
         shift: warmup + (end - warmup) / 2,
@@ -96,11 +96,11 @@
 
 /// Runs the load tool against the deployment in `settings`.
 pub(crate) async fn run(settings: &str, cmd: BenchCmd, json: bool) -> eyre::Result<String> {
-    check(&cmd)?;
+    check_args(&cmd)?;
     let s = Settings::load(settings)?;
     let faults = faults::Kind::parse(&cmd.faults)?;
     let client = client::client();
-    instance::addresses_of(&client, &s).await?;
+    instance::fetch_addresses(&client, &s).await?;
     let plan = Arc::new(plan(&s, &cmd));
     let mut tasks = Vec::new();
     for id in 0..cmd.callers {
@@ -108,22 +108,27 @@
         tasks.push(tokio::spawn(caller.run()));
     }
     tokio::time::sleep(plan.warmup).await;
-    let counted = Instant::now();
+    let measured_from = Instant::now();
     let (used0, offered0) = batch_totals(&s).await;
     let until = plan.start + plan.end;
     let injector = tokio::spawn(faults::inject(s.clone(), faults, cmd.seed, until));
-    let deadly = tokio::spawn(deadly::repeat(s.clone(), client, plan.order[0], until));
+    let deadly = tokio::spawn(deadly::send_repeatedly(
+        s.clone(),
+        client,
+        plan.order[0],
+        until,
+    ));
     let mut tally = Tally::new();
     for t in tasks {
         tally.merge(t.await?);
     }
-    let injected = injector.await?;
+    let fault_count = injector.await?;
     let deadly = deadly.await?;
-    let seconds = counted.elapsed().as_secs_f64();
+    let seconds = measured_from.elapsed().as_secs_f64();
     let (used1, offered1) = batch_totals(&s).await;
-    let verdict = oracle::judge(&s, &tally).await;
+    let violations = oracle::count_violations(&s, &tally).await;
     let batch = (used1 - used0, offered1 - offered0);
-    let mut report = Report::new(&cmd, seconds, &tally, batch, injected, &verdict);
+    let mut report = Report::new(&cmd, seconds, &tally, batch, fault_count, &violations);
     report.deadly = deadly;
     Ok(render(json, &report, || report::text(&report)))
 }
--- a/crates/comfreyhall-cli/src/bench/oracle.rs
+++ b/crates/comfreyhall-cli/src/bench/oracle.rs
@@ -1,4 +1,4 @@
-//! Holds what callers were told against what the stand-ins ran.
+//! Compares what callers were told with what the stand-ins ran.
 
 use std::time::Duration;
 
@@ -8,42 +8,44 @@
 use comfreyhall_settings::Settings;
 use tonic::transport::Endpoint;
 
-use super::report::{Tally, Told};
+use super::report::{AttemptResult, Tally};
 
-/// Time given to runs whose answers were lost to come to their end.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Time for runs whose answers were lost to finish.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Longest connecting to a stand-in may take.
+/// Timeout of connecting to a stand-in.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest list of runs read, in bytes.
-const RUNS_LIMIT: usize = 256 << 20;
+/// Largest list of runs that is accepted, in bytes.
+const MAX_RUNS_BYTES: usize = 256 << 20;
 
-/// Promises broken in a run, as the stand-ins' record shows them.
-pub(super) struct Verdict {
+/// Violated guarantees, according to the stand-ins' lists of runs.
+pub(super) struct Violations {
+    /// At-most-once requests that ran more than once.
     pub(super) doubled: u64,
+    /// Attempts reported as "not run" that ran.
     pub(super) misreported: u64,
 }
 
-/// How often each request id was started, over all engines and services.
+/// Number of starts of each request id, over all engines and services.
 async fn starts(s: &Settings) -> Map<String, u32> {
     let mut out = Map::default();
     let engines = s.engines.iter().map(|e| (&e.listen, true));
     let services = s.services.iter().map(|v| (&v.listen, false));
-    for (addr, engine) in engines.chain(services) {
+    for (addr, is_engine) in engines.chain(services) {
         let Ok(endpoint) = Endpoint::from_shared(format!("http://{addr}")) else {
             continue;
         };
         let Ok(channel) = endpoint.connect_timeout(CONNECT_TIMEOUT).connect().await else {
             continue;
         };
-        let answer = if engine {
+        let answer = if is_engine {
             let client = EngineClient::new(channel);
-            let mut client = client.max_decoding_message_size(RUNS_LIMIT);
+            let mut client = client.max_decoding_message_size(MAX_RUNS_BYTES);
             client.runs(RunsQuery {}).await
         } else {
             let client = PlainClient::new(channel);
-            let mut client = client.max_decoding_message_size(RUNS_LIMIT);
+            let mut client = client.max_decoding_message_size(MAX_RUNS_BYTES);
             client.runs(RunsQuery {}).await
         };
         let Ok(reply) = answer else { continue };
@@ -54,29 +56,32 @@
     out
 }
 
-/// How often requests whose ids begin with `prefix` were begun.
-pub(super) async fn begun(s: &Settings, prefix: &str) -> u64 {
+/// Number of starts of all requests whose ids begin with `prefix`.
+pub(super) async fn count_starts(s: &Settings, prefix: &str) -> u64 {
     let starts = starts(s).await;
-    let ours = starts.iter().filter(|(id, _)| id.starts_with(prefix));
-    ours.map(|(_, n)| u64::from(*n)).sum()
+    let matching = starts.iter().filter(|(id, _)| id.starts_with(prefix));
+    matching.map(|(_, n)| u64::from(*n)).sum()
 }
 
-/// Counts the promises that were broken.
-pub(super) async fn judge(s: &Settings, tally: &Tally) -> Verdict {
-    tokio::time::sleep(SETTLE).await;
+/// Counts the violated guarantees.
+pub(super) async fn count_violations(s: &Settings, tally: &Tally) -> Violations {
+    tokio::time::sleep(SETTLE_TIME).await;
     let starts = starts(s).await;
-    let ran = |id: &str| starts.get(id).copied().unwrap_or(0);
-    let mut verdict = Verdict {
+    let starts_of = |id: &str| starts.get(id).copied().unwrap_or(0);
+    let mut violations = Violations {
         doubled: 0,
         misreported: 0,
     };
-    for journal in &tally.journals {
-        let runs: u32 = journal.attempts.iter().map(|a| ran(&a.id)).sum();
-        if journal.once && runs > 1 {
-            verdict.doubled += 1;
+    for record in &tally.records {
+        let runs: u32 = record.attempts.iter().map(|a| starts_of(&a.id)).sum();
+        if record.at_most_once && runs > 1 {
+            violations.doubled += 1;
         }
-        let refused = journal.attempts.iter().filter(|a| a.told == Told::NotRun);
-        verdict.misreported += refused.filter(|a| ran(&a.id) > 0).count() as u64;
+        let refused = record
+            .attempts
+            .iter()
+            .filter(|a| a.result == AttemptResult::NotRun);
+        violations.misreported += refused.filter(|a| starts_of(&a.id) > 0).count() as u64;
     }
-    verdict
+    violations
 }
--- a/crates/comfreyhall-cli/src/bench/report.rs
+++ b/crates/comfreyhall-cli/src/bench/report.rs
@@ -1,64 +1,65 @@
-//! What a run counted, and how it is printed.
+//! The counters of a run and its report.
 
-use super::deadly::Deadly;
+use super::deadly::DeadlyReport;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::oracle::Verdict;
+use super::oracle::Violations;
 use crate::args::BenchCmd;
 
 /// Largest stall the histogram records, in ms.
 pub(super) const STALL_MAX_MS: u64 = 600_000;
 
-/// What one attempt was told.
+/// The result of one attempt, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Told {
-    /// A whole, right answer.
+pub(super) enum AttemptResult {
+    /// A complete and correct answer.
     Answered,
-    /// "Not run".
+    /// An error that says the attempt did not run.
     NotRun,
-    /// "Outcome unknown", or no answer within the attempt's time.
+    /// An error with unknown outcome, or no answer before the timeout.
     Unknown,
-    /// The connection ended before the answer was complete.
-    CutOff,
-    /// An answer of another request, adapter or version.
+    /// The connection closed before the answer was complete.
+    Truncated,
+    /// An answer for another request, adapter or version.
     Wrong,
 }
 
 /// One attempt of a request.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
-    /// The id the attempt was sent under.
+    /// The request id of the attempt.
     pub(super) id: String,
-    pub(super) told: Told,
+    pub(super) result: AttemptResult,
 }
 
 /// One request with all its attempts.
 #[derive(Debug, Clone)]
-pub(super) struct Journal {
+pub(super) struct RequestRecord {
     /// Whether it must run at most once.
-    pub(super) once: bool,
+    pub(super) at_most_once: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
-impl Journal {
-    /// Whether an at-most-once request met `doubts` unknown outcomes.
-    pub(super) fn hopeless(&self, doubts: usize) -> bool {
-        let doubtful = |a: &&Attempt| matches!(a.told, Told::Unknown | Told::CutOff);
-        self.once && self.attempts.iter().filter(doubtful).count() >= doubts
+impl RequestRecord {
+    /// Whether an at-most-once request has had `max_unknown` unknown outcomes.
+    pub(super) fn is_inconclusive(&self, max_unknown: usize) -> bool {
+        let is_unknown =
+            |a: &&Attempt| matches!(a.result, AttemptResult::Unknown | AttemptResult::Truncated);
+        self.at_most_once && self.attempts.iter().filter(is_unknown).count() >= max_unknown
     }
 
-    /// What the last attempt was told.
-    pub(super) fn last(&self) -> Option<Told> {
-        self.attempts.last().map(|a| a.told)
+    /// The result of the last attempt.
+    pub(super) fn last_result(&self) -> Option<AttemptResult> {
+        self.attempts.last().map(|a| a.result)
     }
 }
 
-/// What callers counted.
+/// The counters of one or more callers.
 pub(super) struct Tally {
     pub(super) stalls: Histogram<u64>,
     pub(super) stalled: u64,
-    pub(super) journals: Vec<Journal>,
+    pub(super) records: Vec<RequestRecord>,
 }
 
 impl Tally {
@@ -66,12 +67,12 @@
         Self {
             stalls: Histogram::new_with_max(STALL_MAX_MS, 3).expect("valid histogram bounds"),
             stalled: 0,
-            journals: Vec::new(),
+            records: Vec::new(),
         }
     }
 
-    /// Counts the load stall of an answered request.
-    pub(super) fn stall(&mut self, ms: u64) {
+    /// Records the load stall of an answered request.
+    pub(super) fn record_stall(&mut self, ms: u64) {
         if ms > 0 {
             self.stalled += 1;
         }
@@ -83,44 +84,44 @@
             .add(&other.stalls)
             .expect("equal histogram bounds");
         self.stalled += other.stalled;
-        self.journals.extend(other.journals);
+        self.records.extend(other.records);
     }
 
-    fn attempts(&self, told: Told) -> u64 {
-        let all = self.journals.iter().flat_map(|j| &j.attempts);
-        all.filter(|a| a.told == told).count() as u64
+    fn count_attempts(&self, result: AttemptResult) -> u64 {
+        let all = self.records.iter().flat_map(|j| &j.attempts);
+        all.filter(|a| a.result == result).count() as u64
     }
 
-    fn ended(&self, told: Told, once: bool) -> u64 {
-        let all = self.journals.iter();
-        all.filter(|j| j.once == once && j.last() == Some(told))
+    fn count_requests(&self, result: AttemptResult, at_most_once: bool) -> u64 {
+        let all = self.records.iter();
+        all.filter(|j| j.at_most_once == at_most_once && j.last_result() == Some(result))
             .count() as u64
     }
 }
 
-/// What one run measured.
+/// The results of one run.
 #[derive(Debug, Serialize, PartialEq)]
 pub(crate) struct Report {
     pub(crate) label: String,
     pub(crate) seed: u64,
     pub(crate) seconds: f64,
-    /// Requests, however many attempts each took.
+    /// Requests, regardless of their number of attempts.
     pub(crate) requests: u64,
     pub(crate) attempts: u64,
     pub(crate) answered: u64,
-    /// Requests given up after a last "not run".
+    /// Requests that were abandoned and whose last attempt was reported as "not run".
     pub(crate) refused: u64,
-    /// Attempts told "not run"; most were sent again.
+    /// Attempts reported as "not run"; most were retried.
     pub(crate) not_run: u64,
     /// At-most-once requests that ended with an unknown outcome.
     pub(crate) unknown: u64,
-    /// Repeatable requests that never got an answer or a refusal.
+    /// Repeatable requests that ended without an answer or a refusal.
     pub(crate) lost: u64,
     /// At-most-once requests that ran more than once.
     pub(crate) doubled: u64,
-    /// Attempts whose connection ended before the answer was complete.
+    /// Attempts whose connection closed before the answer was complete.
     pub(crate) cut_off: u64,
-    /// Attempts told "not run" that ran.
+    /// Attempts reported as "not run" that ran.
     pub(crate) misreported: u64,
     /// Attempts answered with another id, adapter, version or text.
     pub(crate) wrong: u64,
@@ -128,7 +129,7 @@
     pub(crate) stall_p95_ms: u64,
     pub(crate) stall_p99_ms: u64,
     pub(crate) stall_max_ms: u64,
-    /// Seconds of load stall summed over requests.
+    /// Sum of the load stalls of all requests, in seconds.
     pub(crate) stall_total_s: f64,
     /// Share of answered requests that waited for a load.
     pub(crate) stalled_share: f64,
@@ -136,8 +137,8 @@
     pub(crate) batch_efficiency: f64,
     /// Faults injected during the run.
     pub(crate) faults: u64,
-    /// What became of the request that ends engines, if there was one.
-    pub(crate) deadly: Option<Deadly>,
+    /// The deadly request, if the settings name one.
+    pub(crate) deadly: Option<DeadlyReport>,
 }
 
 impl Report {
@@ -147,30 +148,34 @@
         t: &Tally,
         (used, offered): (u64, u64),
         faults: u64,
-        verdict: &Verdict,
+        violations: &Violations,
     ) -> Self {
-        let q = |p: f64| t.stalls.value_at_quantile(p);
-        let answered = t.ended(Told::Answered, false) + t.ended(Told::Answered, true);
-        let lost = [Told::Unknown, Told::CutOff].map(|told| t.ended(told, false));
-        let unknown = [Told::Unknown, Told::CutOff].map(|told| t.ended(told, true));
+        let quantile = |p: f64| t.stalls.value_at_quantile(p);
+        let answered = t.count_requests(AttemptResult::Answered, false)
+            + t.count_requests(AttemptResult::Answered, true);
+        let lost = [AttemptResult::Unknown, AttemptResult::Truncated]
+            .map(|result| t.count_requests(result, false));
+        let unknown = [AttemptResult::Unknown, AttemptResult::Truncated]
+            .map(|result| t.count_requests(result, true));
         Self {
             label: cmd.label.clone(),
             seed: cmd.seed,
             seconds: (seconds * 10.0).round() / 10.0,
-            requests: t.journals.len() as u64,
-            attempts: t.journals.iter().map(|j| j.attempts.len() as u64).sum(),
+            requests: t.records.len() as u64,
+            attempts: t.records.iter().map(|j| j.attempts.len() as u64).sum(),
             answered,
-            refused: t.ended(Told::NotRun, false) + t.ended(Told::NotRun, true),
-            not_run: t.attempts(Told::NotRun),
+            refused: t.count_requests(AttemptResult::NotRun, false)
+                + t.count_requests(AttemptResult::NotRun, true),
+            not_run: t.count_attempts(AttemptResult::NotRun),
             unknown: unknown.iter().sum(),
             lost: lost.iter().sum(),
-            doubled: verdict.doubled,
-            cut_off: t.attempts(Told::CutOff),
-            misreported: verdict.misreported,
-            wrong: t.attempts(Told::Wrong),
-            stall_p50_ms: q(0.5),
-            stall_p95_ms: q(0.95),
-            stall_p99_ms: q(0.99),
+            doubled: violations.doubled,
+            cut_off: t.count_attempts(AttemptResult::Truncated),
+            misreported: violations.misreported,
+            wrong: t.count_attempts(AttemptResult::Wrong),
+            stall_p50_ms: quantile(0.5),
+            stall_p95_ms: quantile(0.95),
+            stall_p99_ms: quantile(0.99),
             stall_max_ms: t.stalls.max(),
             stall_total_s: (t.stalls.mean() * t.stalls.len() as f64 / 10.0).round() / 100.0,
             stalled_share: share(t.stalled, answered),
@@ -188,12 +193,12 @@
     (part as f64 / whole as f64 * 1000.0).round() / 1000.0
 }
 
-/// The report as people read it.
+/// The report as text.
 pub(crate) fn text(r: &Report) -> String {
     let deadly = r.deadly.as_ref().map_or(String::new(), |d| {
         format!(
             "deadly request: {} attempts, {} held back, begun by engines {} times\n",
-            d.attempts, d.held, d.begun
+            d.attempts, d.quarantined, d.started
         )
     });
     format!(
--- a/crates/comfreyhall-cli/src/catalog.rs
+++ b/crates/comfreyhall-cli/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Catalog commands: customers, adapters, versions, audit, seeding.
+//! Commands on the catalog: customers, adapters, versions, rules, audit trail and seeding.
 
 use comfreyhall_catalog::{Adapter, Catalog, Config, Customer, Rule, Rules, Table, Terms, Version};
 use comfreyhall_settings::Settings;
@@ -9,12 +9,12 @@
     output::{render, table},
 };
 
-fn open(settings: &str, actor: &str) -> eyre::Result<Catalog> {
+fn open_catalog(settings: &str, actor: &str) -> eyre::Result<Catalog> {
     let s = Settings::load(settings)?;
     Ok(Catalog::new(Table::new(&s.platform.table)?, actor))
 }
 
-fn labels(raw: &[String]) -> eyre::Result<std::collections::BTreeMap<String, String>> {
+fn parse_labels(raw: &[String]) -> eyre::Result<std::collections::BTreeMap<String, String>> {
     raw.iter()
         .map(|l| {
             l.split_once('=')
@@ -24,19 +24,19 @@
         .collect()
 }
 
-fn one_label(raw: &[String]) -> eyre::Result<(String, String)> {
-    let mut all = labels(raw)?;
+fn single_label(raw: &[String]) -> eyre::Result<(String, String)> {
+    let mut all = parse_labels(raw)?;
     match (all.len(), all.pop_first()) {
         (1, Some(l)) => Ok(l),
         _ => bail!("label takes exactly one --label key=value"),
     }
 }
 
-fn need(name: Option<String>, what: &str) -> eyre::Result<String> {
+fn require_name(name: Option<String>, what: &str) -> eyre::Result<String> {
     name.ok_or_else(|| eyre!("name the {what}: comfreyhall {what} ACTION NAME"))
 }
 
-fn show_labels(l: &std::collections::BTreeMap<String, String>) -> String {
+fn format_labels(l: &std::collections::BTreeMap<String, String>) -> String {
     let parts: Vec<String> = l.iter().map(|(k, v)| format!("{k}={v}")).collect();
     parts.join(",")
 }
@@ -47,12 +47,12 @@
     cmd: CustomerCmd,
     json: bool,
 ) -> eyre::Result<String> {
-    let catalog = open(settings, actor)?;
+    let catalog = open_catalog(settings, actor)?;
     match cmd.action.as_str() {
         "create" => {
             let c = Customer {
-                name: need(cmd.name, "customer")?,
-                labels: labels(&cmd.label)?,
+                name: require_name(cmd.name, "customer")?,
+                labels: parse_labels(&cmd.label)?,
                 terms: Terms {
                     stall_ms: cmd.stall_ms,
                     priority: cmd.priority,
@@ -64,8 +64,8 @@
             }))
         }
         "label" => {
-            let name = need(cmd.name, "customer")?;
-            let l = one_label(&cmd.label)?;
+            let name = require_name(cmd.name, "customer")?;
+            let l = single_label(&cmd.label)?;
             catalog.label("customer", &name, l.clone()).await?;
             Ok(render(json, &l, || {
                 format!("labelled customer {name} {}={}\n", l.0, l.1)
@@ -81,7 +81,7 @@
                             c.name.clone(),
                             c.terms.stall_ms.to_string(),
                             c.terms.priority.to_string(),
-                            show_labels(&c.labels),
+                            format_labels(&c.labels),
                         ]
                     })
                     .collect();
@@ -98,24 +98,24 @@
     cmd: AdapterCmd,
     json: bool,
 ) -> eyre::Result<String> {
-    let catalog = open(settings, actor)?;
+    let catalog = open_catalog(settings, actor)?;
     match cmd.action.as_str() {
         "create" => {
-            let name = need(cmd.name, "adapter")?;
+            let name = require_name(cmd.name, "adapter")?;
             let owner = cmd
                 .customer
-                .ok_or_else(|| eyre!("say whose adapter it is with --customer NAME"))?;
+                .ok_or_else(|| eyre!("name the owner of the adapter with --customer NAME"))?;
             catalog
-                .create_adapter(&name, &owner, labels(&cmd.label)?)
+                .create_adapter(&name, &owner, parse_labels(&cmd.label)?)
                 .await?;
-            let done = serde_json::json!({ "adapter": name, "customer": owner });
-            Ok(render(json, &done, || {
+            let result = serde_json::json!({ "adapter": name, "customer": owner });
+            Ok(render(json, &result, || {
                 format!("created adapter {name} for {owner}\n")
             }))
         }
         "label" => {
-            let name = need(cmd.name, "adapter")?;
-            let l = one_label(&cmd.label)?;
+            let name = require_name(cmd.name, "adapter")?;
+            let l = single_label(&cmd.label)?;
             catalog.label("adapter", &name, l.clone()).await?;
             Ok(render(json, &l, || {
                 format!("labelled adapter {name} {}={}\n", l.0, l.1)
@@ -138,7 +138,7 @@
                 a.name.clone(),
                 a.customer.clone(),
                 versions.join(","),
-                show_labels(&a.labels),
+                format_labels(&a.labels),
             ]
         })
         .collect();
@@ -154,10 +154,10 @@
     if cmd.action != "add" {
         bail!("version has no action {:?}; use add", cmd.action);
     }
-    let catalog = open(settings, actor)?;
+    let catalog = open_catalog(settings, actor)?;
     let v = Version {
         name: cmd.version,
-        labels: labels(&cmd.label)?,
+        labels: parse_labels(&cmd.label)?,
     };
     catalog.add_version(&cmd.adapter, v.clone()).await?;
     Ok(render(json, &v, || {
@@ -166,7 +166,7 @@
 }
 
 pub(crate) async fn audit(settings: &str, cmd: AuditCmd, json: bool) -> eyre::Result<String> {
-    let catalog = open(settings, "")?;
+    let catalog = open_catalog(settings, "")?;
     let trail = catalog.audit_trail(cmd.last).await?;
     Ok(render(json, &trail, || {
         let rows: Vec<Vec<String>> = trail
@@ -197,7 +197,7 @@
     cmd: RulesCmd,
     json: bool,
 ) -> eyre::Result<String> {
-    let catalog = open(settings, actor)?;
+    let catalog = open_catalog(settings, actor)?;
     match cmd.action.as_str() {
         "apply" => {
             let file = cmd
@@ -206,10 +206,10 @@
             let rules = read_rules(&file)?;
             let version = catalog.apply(&rules, cmd.base).await?;
             if cmd.wait {
-                return crate::force::wait(settings, version, json).await;
+                return crate::rollout::wait_for_all(settings, version, json).await;
             }
-            let done = serde_json::json!({ "version": version });
-            Ok(render(json, &done, || {
+            let result = serde_json::json!({ "version": version });
+            Ok(render(json, &result, || {
                 format!("rules accepted as version {version}\n")
             }))
         }
@@ -223,28 +223,28 @@
 
 fn rules_table(config: &Config) -> String {
     let row = |r: &Rule| {
-        let covers = [
+        let selectors = [
             ("customer", &r.select.customer),
             ("adapter", &r.select.adapter),
             ("version", &r.select.version),
             ("instance", &r.select.instance),
         ];
-        let covers = covers.iter().filter(|(_, l)| !l.is_empty());
-        let covers = covers.map(|(k, l)| format!("{k}[{}]", show_labels(l)));
+        let selectors = selectors.iter().filter(|(_, l)| !l.is_empty());
+        let selectors = selectors.map(|(k, l)| format!("{k}[{}]", format_labels(l)));
         let set = serde_json::to_string(&r.set).expect("effects serialise");
-        vec![r.name.clone(), covers.collect::<Vec<_>>().join(" "), set]
+        vec![r.name.clone(), selectors.collect::<Vec<_>>().join(" "), set]
     };
     let rows: Vec<Vec<String>> = config.rules.iter().map(row).collect();
     let head = format!("version {}\n", config.version);
     head + &table(&["NAME", "COVERS", "SETS"], &rows)
 }
 
-/// Name of seeded customer `i`.
+/// Name of the seeded customer with index `i`.
 pub(crate) fn seed_customer(i: u32) -> String {
     format!("customer-{i:03}")
 }
 
-/// Name of seeded adapter `i`.
+/// Name of the seeded adapter with index `i`.
 pub(crate) fn seed_adapter(i: u32) -> String {
     format!("adapter-{i:05}")
 }
@@ -275,8 +275,8 @@
         })
         .collect();
     let created = catalog.seed(&customers, &adapters).await?;
-    let done = serde_json::json!({ "created": created });
-    Ok(render(json, &done, || {
+    let result = serde_json::json!({ "created": created });
+    Ok(render(json, &result, || {
         format!("seeded {created} records\n")
     }))
 }
@@ -286,12 +286,12 @@
         bail!("settings has no action {:?}; use check", cmd.action);
     }
     let s = Settings::load(&cmd.file)?;
-    let done = serde_json::json!({
+    let result = serde_json::json!({
         "deployment": &*s.deployment,
         "instances": s.instances.len(),
         "engines": s.engines.len(),
     });
-    Ok(render(json, &done, || {
+    Ok(render(json, &result, || {
         format!(
             "{} is valid: deployment {}, {} instances, {} engines\n",
             cmd.file,
--- a/crates/comfreyhall-cli/src/client.rs
+++ b/crates/comfreyhall-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: one call to a daemon, as any caller makes it.
+//! HTTP client for calls to a daemon, as any caller makes them.
 
 use std::time::Duration;
 
@@ -13,59 +13,59 @@
 };
 use thiserror::Error;
 
-/// Longest one operator's call may take.
+/// Timeout of a call that an operator makes.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A pooled HTTP/1 client.
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// An answer: status, selected headers, body.
+/// A response: status, selected headers and body.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) stall_ms: Option<u64>,
     pub(crate) body: Bytes,
 }
 
-/// Why a call got no answer.
+/// Why a call got no response.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
-    /// No connection could be opened: nothing was sent.
-    #[error("no connection; is the daemon running?")]
+    /// No connection could be opened, so nothing was sent.
+    #[error("cannot connect; is the daemon running?")]
     NotSent,
-    /// The connection ended before the answer was complete.
-    #[error("the connection ended early; try again")]
-    CutOff,
-    /// The time for the call ran out.
+    /// The connection closed before the response was complete.
+    #[error("the connection closed before the answer was complete; try again")]
+    ConnectionLost,
+    /// The call timed out.
     #[error("no answer in time; try again or allow more time")]
-    Late,
+    TimedOut,
 }
 
-/// One call to make.
-pub(crate) struct Send<'a> {
+/// The parameters of one call.
+pub(crate) struct HttpCall<'a> {
     pub(crate) url: &'a str,
-    /// `None` makes it a GET.
+    /// Body of a POST; `None` makes the call a GET.
     pub(crate) body: Option<Vec<u8>>,
     /// The request id.
     pub(crate) id: Option<&'a str>,
     /// The idempotency key; also marks the call as non-idempotent.
     pub(crate) key: Option<&'a str>,
-    /// Longest the call may take.
-    pub(crate) limit: Duration,
+    /// Time limit of the whole call.
+    pub(crate) time_limit: Duration,
 }
 
-impl<'a> Send<'a> {
+impl<'a> HttpCall<'a> {
     /// A GET of `url`.
-    pub(crate) fn get(url: &'a str, limit: Duration) -> Self {
+    pub(crate) fn get(url: &'a str, time_limit: Duration) -> Self {
         Self {
             url,
             body: None,
             id: None,
             key: None,
-            limit,
+            time_limit,
         }
     }
 
-    fn request(self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    fn into_request(self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut req = Request::builder().uri(self.url);
         req = match &self.body {
             Some(_) => req
@@ -90,13 +90,13 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-/// Makes one call and reads the whole answer.
-pub(crate) async fn call(client: &HttpClient, send: Send<'_>) -> Result<Reply, CallError> {
-    let limit = send.limit;
-    let req = send.request().map_err(|_| CallError::NotSent)?;
-    match tokio::time::timeout(limit, exchange(client, req)).await {
+/// Makes one call and reads the whole response.
+pub(crate) async fn call(client: &HttpClient, http_call: HttpCall<'_>) -> Result<Reply, CallError> {
+    let time_limit = http_call.time_limit;
+    let req = http_call.into_request().map_err(|_| CallError::NotSent)?;
+    match tokio::time::timeout(time_limit, exchange(client, req)).await {
         Ok(answer) => answer,
-        Err(_) => Err(CallError::Late),
+        Err(_) => Err(CallError::TimedOut),
     }
 }
 
@@ -106,7 +106,7 @@
         .await
         .map_err(|e| match e.is_connect() {
             true => CallError::NotSent,
-            false => CallError::CutOff,
+            false => CallError::ConnectionLost,
         })?;
     let status = resp.status().as_u16();
     let stall_ms = resp
@@ -115,7 +115,7 @@
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok());
     let body = resp.into_body().collect().await;
-    let body = body.map_err(|_| CallError::CutOff)?.to_bytes();
+    let body = body.map_err(|_| CallError::ConnectionLost)?.to_bytes();
     Ok(Reply {
         status,
         stall_ms,
--- a/crates/comfreyhall-cli/src/explain.rs
+++ b/crates/comfreyhall-cli/src/explain.rs
@@ -1,14 +1,19 @@
-//! Tells the story of one request, or of one configuration, from the logs of several
-//! daemons.
+//! `comfreyhall explain`: the log lines about one request or one configuration,
+//! merged from the logs of several daemons.
 //!
-//! The story of a configuration is when each daemon heard of it and took it in, and
-//! what kept it from that. That of a request has the same lines of its daemons.
+//! For a request, these are in time order:
 //!
-//! The story is every line about the request, and what the daemons came to
-//! believe about the targets it was sent to shortly before and while it lasted,
-//! in time order. Attempts that were the same request (they share a
-//! fingerprint) and lost their target are part of it, however long ago: a
-//! request may be held back for what its earlier attempts did.
+//! - every line with the request's id;
+//! - lines about the targets that it was sent to, from shortly before the
+//!   request until its end;
+//! - lines with the request's fingerprint, from earlier attempts of the same
+//!   request that lost their target, however old, because a request may be
+//!   quarantined for what its earlier attempts did;
+//! - for each daemon that handled it, the configuration that was active, and
+//!   recent lines about settings.
+//!
+//! For a configuration, these are the lines that show when each daemon was
+//! notified of it and activated it, and what delayed the activation.
 
 use std::collections::BTreeSet;
 
@@ -17,22 +22,23 @@
 
 use crate::{
     args::ExplainCmd,
-    lines::{Line, read},
+    lines::{LogLine, read},
     output,
 };
 
-/// How long before its first line news of a request's targets still counts,
-/// in ms: two publishing intervals of a target.
-const BEFORE_MS: u64 = 2_400;
+/// How long before a request's first line its targets' lines are included, in
+/// ms: two publishing intervals of a target.
+const TARGET_LOOKBACK_MS: u64 = 2_400;
 
-/// How long before a request what its daemons learned of settings is part of its
-/// story, in ms.
-const SETTINGS_BEFORE_MS: u64 = 10_000;
+/// How long before a request's first line its daemons' lines about settings are
+/// included, in ms.
+const SETTINGS_LOOKBACK_MS: u64 = 10_000;
 
-/// Lines about settings.
-const IN_FORCE: &str = "configuration in force";
-const SETTINGS_LINES: [&str; 7] = [
-    IN_FORCE,
+/// Message of the line that a daemon logs when it activates a configuration.
+const CONFIG_ACTIVE: &str = "configuration in force";
+/// Messages of the lines about settings.
+const SETTINGS_MESSAGES: [&str; 7] = [
+    CONFIG_ACTIVE,
     "newer settings heard of",
     "settings not read",
     "settings not fetched",
@@ -41,81 +47,92 @@
     "starting",
 ];
 
-/// Fields that every line has and the text form shows in its own way.
-const COMMON: [&str; 5] = ["t", "level", "part", "msg", "daemon"];
+/// Fields of every line, which the text output formats separately.
+const COMMON_FIELDS: [&str; 5] = ["t", "level", "part", "msg", "daemon"];
 
-/// The lines that tell the story of `id`, in time order.
-fn story(lines: Vec<Line>, id: &str) -> Vec<Line> {
-    let own: Vec<&Line> = lines.iter().filter(|l| l.text("id") == id).collect();
-    let targets: BTreeSet<&str> = own.iter().map(|l| l.text("target_id")).collect();
-    let fingerprints: BTreeSet<&str> = own.iter().map(|l| l.text("fingerprint")).collect();
-    let first = own.iter().map(|l| l.at).min().unwrap_or(0);
-    let last = own.iter().map(|l| l.at).max().unwrap_or(0);
-    let around = first.saturating_sub(BEFORE_MS)..=last;
-    let about_target = |l: &Line| {
-        let id = l.text("id");
-        !id.is_empty() && targets.contains(id) && around.contains(&l.at)
+/// The lines about the request `id`, in time order.
+fn request_lines(lines: Vec<LogLine>, id: &str) -> Vec<LogLine> {
+    let own_lines: Vec<&LogLine> = lines.iter().filter(|l| l.str_field("id") == id).collect();
+    let targets: BTreeSet<&str> = own_lines.iter().map(|l| l.str_field("target_id")).collect();
+    let fingerprints: BTreeSet<&str> = own_lines
+        .iter()
+        .map(|l| l.str_field("fingerprint"))
+        .collect();
+    let first = own_lines.iter().map(|l| l.at_ms).min().unwrap_or(0);
+    let last = own_lines.iter().map(|l| l.at_ms).max().unwrap_or(0);
+    let target_window = first.saturating_sub(TARGET_LOOKBACK_MS)..=last;
+    let concerns_target = |l: &LogLine| {
+        let id = l.str_field("id");
+        !id.is_empty() && targets.contains(id) && target_window.contains(&l.at_ms)
     };
-    let same_request = |l: &Line| {
-        let fingerprint = l.text("fingerprint");
-        !fingerprint.is_empty() && fingerprints.contains(fingerprint) && l.at <= last
+    let is_attempt = |l: &LogLine| {
+        let fingerprint = l.str_field("fingerprint");
+        !fingerprint.is_empty() && fingerprints.contains(fingerprint) && l.at_ms <= last
     };
-    let daemons: BTreeSet<&str> = own.iter().map(|l| l.text("daemon")).collect();
-    let held: Vec<&Line> = daemons
+    let daemons: BTreeSet<&str> = own_lines.iter().map(|l| l.str_field("daemon")).collect();
+    let active_configs: Vec<&LogLine> = daemons
         .iter()
-        .filter_map(|daemon| in_force_at(&lines, daemon, first))
+        .filter_map(|daemon| active_config_at(&lines, daemon, first))
         .collect();
-    let lately = first.saturating_sub(SETTINGS_BEFORE_MS)..=last;
-    let about_settings = |l: &Line| {
-        let learned = SETTINGS_LINES.contains(&l.text("msg")) && lately.contains(&l.at);
-        daemons.contains(l.text("daemon")) && learned || held.contains(&l)
+    let settings_window = first.saturating_sub(SETTINGS_LOOKBACK_MS)..=last;
+    let concerns_settings = |l: &LogLine| {
+        let recent =
+            SETTINGS_MESSAGES.contains(&l.str_field("msg")) && settings_window.contains(&l.at_ms);
+        daemons.contains(l.str_field("daemon")) && recent || active_configs.contains(&l)
     };
-    let mut out: Vec<Line> = lines
+    let mut out: Vec<LogLine> = lines
         .iter()
-        .filter(|l| l.text("id") == id || about_target(l) || same_request(l) || about_settings(l))
+        .filter(|l| {
+            l.str_field("id") == id || concerns_target(l) || is_attempt(l) || concerns_settings(l)
+        })
         .cloned()
         .collect();
-    out.sort_by_key(|l| l.at);
+    out.sort_by_key(|l| l.at_ms);
     out
 }
 
-/// The line of `daemon` about the configuration that was in force at `at`.
-fn in_force_at<'a>(lines: &'a [Line], daemon: &str, at: u64) -> Option<&'a Line> {
-    let theirs = lines.iter().filter(|l| l.text("daemon") == daemon);
-    let before = theirs.filter(|l| l.text("msg") == IN_FORCE && l.at <= at);
-    before.max_by_key(|l| l.at)
+/// The line with which `daemon` activated the configuration active at `at_ms`.
+fn active_config_at<'a>(lines: &'a [LogLine], daemon: &str, at_ms: u64) -> Option<&'a LogLine> {
+    let daemon_lines = lines.iter().filter(|l| l.str_field("daemon") == daemon);
+    let before = daemon_lines.filter(|l| l.str_field("msg") == CONFIG_ACTIVE && l.at_ms <= at_ms);
+    before.max_by_key(|l| l.at_ms)
 }
 
-/// The lines that tell how the configuration of `version` came into force, in time
-/// order: of each daemon from the word of it on.
-fn change(lines: Vec<Line>, version: &str) -> Vec<Line> {
-    let is = |l: &Line| l.text("msg") == IN_FORCE && l.number("version").to_string() == version;
-    let taken: Vec<&Line> = lines.iter().filter(|l| is(l)).collect();
-    let Some(first) = taken
+/// The lines about the activation of configuration `version`, in time order,
+/// for each daemon from its first notification on.
+fn config_lines(lines: Vec<LogLine>, version: &str) -> Vec<LogLine> {
+    let is_activation = |l: &LogLine| {
+        l.str_field("msg") == CONFIG_ACTIVE && l.u64_field("version").to_string() == version
+    };
+    let activations: Vec<&LogLine> = lines.iter().filter(|l| is_activation(l)).collect();
+    let Some(first) = activations
         .iter()
-        .map(|l| l.at.saturating_sub(l.number("waited")))
+        .map(|l| l.at_ms.saturating_sub(l.u64_field("waited")))
         .min()
     else {
         return Vec::new();
     };
-    let last = taken.iter().map(|l| l.at).max().unwrap_or(first);
-    let row = taken[0].number("row");
-    let about = |l: &Line| {
-        let heard = l.number("newer") == row && !l.text("peer").is_empty();
-        let hindered = SETTINGS_LINES.contains(&l.text("msg")) && l.text("msg") != IN_FORCE;
-        is(l) || heard || hindered && l.number("newer") == 0 && (first..=last).contains(&l.at)
+    let last = activations.iter().map(|l| l.at_ms).max().unwrap_or(first);
+    let row = activations[0].u64_field("row");
+    let is_relevant = |l: &LogLine| {
+        let is_notification = l.u64_field("newer") == row && !l.str_field("peer").is_empty();
+        let is_failure =
+            SETTINGS_MESSAGES.contains(&l.str_field("msg")) && l.str_field("msg") != CONFIG_ACTIVE;
+        is_activation(l)
+            || is_notification
+            || is_failure && l.u64_field("newer") == 0 && (first..=last).contains(&l.at_ms)
     };
-    let mut out: Vec<Line> = lines.iter().filter(|l| about(l)).cloned().collect();
-    out.sort_by_key(|l| l.at);
+    let mut out: Vec<LogLine> = lines.iter().filter(|l| is_relevant(l)).cloned().collect();
+    out.sort_by_key(|l| l.at_ms);
     out
 }
 
-fn show(lines: &[Line]) -> String {
-    let start = lines.first().map_or(0, |l| l.at);
+fn format_lines(lines: &[LogLine]) -> String {
+    let start = lines.first().map_or(0, |l| l.at_ms);
     let mut out = String::new();
     for line in lines {
         let fields = line.value.as_object().into_iter().flatten();
-        let fields = fields.filter(|(k, _)| !COMMON.contains(&k.as_str()));
+        let fields = fields.filter(|(k, _)| !COMMON_FIELDS.contains(&k.as_str()));
         let fields = fields.map(|(k, v)| match v {
             Value::String(s) => format!("{k}={s}"),
             other => format!("{k}={other}"),
@@ -123,26 +140,26 @@
         let fields: Vec<String> = fields.collect();
         out.push_str(&format!(
             "+{:>6} ms  {}  {}: {}  {}\n",
-            line.at - start,
-            line.text("daemon"),
-            line.text("part"),
-            line.text("msg"),
+            line.at_ms - start,
+            line.str_field("daemon"),
+            line.str_field("part"),
+            line.str_field("msg"),
             fields.join(" ")
         ));
     }
     out
 }
 
-/// Prints the story of one request or configuration.
+/// Prints the log lines about one request or configuration.
 pub(crate) fn run(cmd: ExplainCmd, json: bool) -> eyre::Result<String> {
     let lines = read(&cmd.logs)?;
-    let story = match cmd.change {
-        true => change(lines, &cmd.id),
-        false => story(lines, &cmd.id),
+    let selected = match cmd.change {
+        true => config_lines(lines, &cmd.id),
+        false => request_lines(lines, &cmd.id),
     };
-    if story.is_empty() {
+    if selected.is_empty() {
         return Err(eyre!(
-            "no line is about {} {}; check it, and give the logs of every daemon of that time",
+            "no log line mentions {} {}; check it, and pass the logs of every daemon from that time",
             if cmd.change {
                 "configuration"
             } else {
@@ -151,8 +168,8 @@
             cmd.id
         ));
     }
-    let values: Vec<&Value> = story.iter().map(|l| &l.value).collect();
-    Ok(output::render(json, &values, || show(&story)))
+    let values: Vec<&Value> = selected.iter().map(|l| &l.value).collect();
+    Ok(output::render(json, &values, || format_lines(&selected)))
 }
 
 #[cfg(test)]
--- a/crates/comfreyhall-cli/src/explain_tests.rs
+++ b/crates/comfreyhall-cli/src/explain_tests.rs
@@ -8,31 +8,31 @@
 1.4 front-1 {"t":1400,"level":"INFO","part":"serve","msg":"given up","id":"r1","answer":"NotRun"}"#;
 
 #[test]
-fn story_request_and_its_targets() {
-    let story = story(parse(LOG, "log"), "r1");
-    insta::assert_snapshot!(show(&story));
+fn request_lines_include_targets() {
+    let found = request_lines(parse(LOG, "log"), "r1");
+    insta::assert_snapshot!(format_lines(&found));
 }
 
 #[test]
-fn story_unknown_is_empty() {
-    assert!(story(parse(LOG, "log"), "r9").is_empty());
+fn request_lines_unknown_id_is_empty() {
+    assert!(request_lines(parse(LOG, "log"), "r9").is_empty());
 }
 
-/// Symptom: a request was held back, and its story did not say why. Events: its
-/// attempts before ended two engines, minutes ago and through another daemon.
-/// Cause: each attempt has an id of its own.
+/// Guards against output that does not show why a request was quarantined: its
+/// earlier attempts crashed two engines minutes before, through another daemon,
+/// and each attempt has its own id.
 #[test]
-fn story_has_earlier_attempts() {
+fn request_lines_include_earlier_attempts() {
     let log = r#"0 front-1 {"t":1000,"part":"serve","msg":"send","id":"r1","fingerprint":"ab","target_id":"i-1"}
 0 front-1 {"t":1100,"part":"serve","msg":"send","id":"r2","fingerprint":"cd","target_id":"i-1"}
 0 front-2 {"t":90000,"part":"serve","msg":"given up","id":"r3","fingerprint":"ab"}
 0 front-2 {"t":95000,"part":"serve","msg":"given up","id":"r4","fingerprint":"ab"}"#;
-    let story = story(parse(log, "log"), "r3");
-    let ids: Vec<&str> = story.iter().map(|l| l.text("id")).collect();
+    let found = request_lines(parse(log, "log"), "r3");
+    let ids: Vec<&str> = found.iter().map(|l| l.str_field("id")).collect();
     assert_eq!(ids, ["r1", "r3"]);
 }
 
-/// Two daemons and two configurations; one hears late of the second.
+/// Two daemons and two configurations; `n2` is notified of the second one late.
 const CHANGES: &str = r#"0 n1 {"t":1000,"part":"follow","msg":"configuration in force","version":4,"before":0,"row":10,"from":"store","waited":20}
 0 n2 {"t":1010,"part":"follow","msg":"configuration in force","version":4,"before":0,"row":10,"from":"store","waited":30}
 0 n1 {"t":30000,"part":"follow","msg":"configuration in force","version":7,"before":4,"row":15,"from":"store","waited":40}
@@ -42,16 +42,16 @@
 0 n2 {"t":30900,"part":"follow","msg":"configuration in force","version":7,"before":4,"row":15,"from":"n1","waited":500}"#;
 
 #[test]
-fn story_has_settings_it_was_judged_by() {
-    let story = story(parse(CHANGES, "log"), "r1");
-    let times: Vec<u64> = story.iter().map(|l| l.at).collect();
+fn request_lines_include_settings() {
+    let found = request_lines(parse(CHANGES, "log"), "r1");
+    let times: Vec<u64> = found.iter().map(|l| l.at_ms).collect();
     assert_eq!(times, [1_010, 30_100, 30_400, 30_500]);
 }
 
 #[test]
-fn change_tells_who_had_it_when() {
-    let story = change(parse(CHANGES, "log"), "7");
-    let times: Vec<u64> = story.iter().map(|l| l.at).collect();
+fn config_lines_of_each_daemon() {
+    let found = config_lines(parse(CHANGES, "log"), "7");
+    let times: Vec<u64> = found.iter().map(|l| l.at_ms).collect();
     assert_eq!(times, [30_000, 30_100, 30_400, 30_900]);
-    assert!(change(parse(CHANGES, "log"), "5").is_empty());
+    assert!(config_lines(parse(CHANGES, "log"), "5").is_empty());
 }
--- a/crates/comfreyhall-cli/src/instance.rs
+++ b/crates/comfreyhall-cli/src/instance.rs
@@ -9,25 +9,25 @@
 
 use crate::{
     args::{AddressesCmd, CancelCmd, DrainCmd, FaultCmd, GenerateCmd, MetricsCmd},
-    bench::Target,
-    client::{CALL_TIMEOUT, HttpClient, Reply, Send, call, client},
+    bench::StandIn,
+    client::{CALL_TIMEOUT, HttpCall, HttpClient, Reply, call, client},
     output::render,
 };
 
-/// GETs `path` of the first instance in the settings that answers.
-async fn first(client: &HttpClient, s: &Settings, path: &str) -> eyre::Result<Reply> {
+/// Sends a GET for `path` to the instances in the settings, in order, until one answers.
+async fn get_from_any(client: &HttpClient, s: &Settings, path: &str) -> eyre::Result<Reply> {
     for instance in &s.instances {
         let url = format!("http://{}{path}", instance.listen);
-        if let Ok(reply) = call(client, Send::get(&url, CALL_TIMEOUT)).await {
+        if let Ok(reply) = call(client, HttpCall::get(&url, CALL_TIMEOUT)).await {
             return Ok(reply);
         }
     }
-    bail!("no instance of the settings answers; start the daemons first")
+    bail!("no instance in the settings answers; start the daemons first")
 }
 
-/// The address answer of the first instance that gives one.
-pub(crate) async fn addresses_of(client: &HttpClient, s: &Settings) -> eyre::Result<Addresses> {
-    let reply = first(client, s, "/v1/addresses").await?;
+/// Fetches the entry addresses from the first instance that answers.
+pub(crate) async fn fetch_addresses(client: &HttpClient, s: &Settings) -> eyre::Result<Addresses> {
+    let reply = get_from_any(client, s, "/v1/addresses").await?;
     let answer: Addresses = serde_json::from_slice(&reply.body)?;
     if answer.addresses.is_empty() {
         bail!("no live instance is known yet; wait a heartbeat and ask again");
@@ -37,14 +37,16 @@
 
 async fn post(addr: &str, path: &str, body: Vec<u8>, id: Option<&str>) -> eyre::Result<Reply> {
     let url = format!("http://{addr}{path}");
-    let send = Send {
+    let http_call = HttpCall {
         url: &url,
         body: Some(body),
         id,
         key: None,
-        limit: CALL_TIMEOUT,
+        time_limit: CALL_TIMEOUT,
     };
-    call(&client(), send).await.wrap_err_with(|| url.clone())
+    call(&client(), http_call)
+        .await
+        .wrap_err_with(|| url.clone())
 }
 
 pub(crate) async fn addresses(
@@ -57,7 +59,7 @@
         .domain
         .map(|d| format!("?domain={d}"))
         .unwrap_or_default();
-    let reply = first(&client(), &s, &format!("/v1/addresses{query}")).await?;
+    let reply = get_from_any(&client(), &s, &format!("/v1/addresses{query}")).await?;
     let answer: Addresses = serde_json::from_slice(&reply.body)?;
     Ok(render(json, &answer, || {
         let mut out = format!("use for {} ms:\n", answer.ttl_ms);
@@ -72,7 +74,7 @@
     let s = Settings::load(settings)?;
     let to = match cmd.to {
         Some(to) => to,
-        None => addresses_of(&client(), &s).await?.addresses[0].clone(),
+        None => fetch_addresses(&client(), &s).await?.addresses[0].clone(),
     };
     let req = CompletionRequest {
         model: cmd.model,
@@ -116,15 +118,15 @@
     }))
 }
 
-/// Asks every instance to cancel a request: only the one that runs it knows.
+/// Asks every instance to cancel a request, because only the one that runs it knows it.
 pub(crate) async fn cancel(settings: &str, cmd: CancelCmd, json: bool) -> eyre::Result<String> {
     let s = Settings::load(settings)?;
-    let ask = CancelRequest {
+    let cancel_request = CancelRequest {
         request_id: cmd.id.clone(),
     };
     let mut found = false;
     for instance in &s.instances {
-        let body = serde_json::to_vec(&ask)?;
+        let body = serde_json::to_vec(&cancel_request)?;
         if let Ok(reply) = post(&instance.listen, "/v1/cancel", body, None).await {
             let answer: serde_json::Value = serde_json::from_slice(&reply.body)?;
             found |= answer["found"] == true;
@@ -137,17 +139,17 @@
     }))
 }
 
-/// Prints one instance's metrics.
+/// Prints the metrics of one instance.
 pub(crate) async fn metrics(settings: &str, cmd: MetricsCmd) -> eyre::Result<String> {
     let s = Settings::load(settings)?;
     let reply = match cmd.instance {
-        None => first(&client(), &s, "/v1/metrics").await?,
+        None => get_from_any(&client(), &s, "/v1/metrics").await?,
         Some(id) => {
             let inst = s.instance(&id).ok_or_else(|| {
                 eyre!("instance {id} is not in the settings; use an id under \"instances\"")
             })?;
             let url = format!("http://{}/v1/metrics", inst.listen);
-            call(&client(), Send::get(&url, CALL_TIMEOUT)).await?
+            call(&client(), HttpCall::get(&url, CALL_TIMEOUT)).await?
         }
     };
     Ok(String::from_utf8_lossy(&reply.body).into_owned())
@@ -156,13 +158,13 @@
 /// Sets the fault switches of a stand-in.
 pub(crate) async fn fault(settings: &str, cmd: FaultCmd, json: bool) -> eyre::Result<String> {
     let s = Settings::load(settings)?;
-    let target = Target::named(&s, &cmd.target).ok_or_else(|| {
+    let stand_in = StandIn::by_name(&s, &cmd.target).ok_or_else(|| {
         eyre!(
-            "{} is no stand-in; use table, weights, objects or an engine or service id",
+            "{} is not a stand-in; use table, weights, objects or an engine or service id",
             cmd.target
         )
     })?;
-    let order = FaultOrder {
+    let command = FaultOrder {
         down: cmd.down,
         delay_ms: cmd.slow_ms,
         lose_answers: cmd.lose > 0.0,
@@ -173,7 +175,7 @@
         rest_s: cmd.rest_s,
         leaving: cmd.leaving,
     };
-    target.order(&s, order).await?;
+    stand_in.set_faults(&s, command).await?;
     let done = serde_json::json!({ "target": cmd.target });
     Ok(render(json, &done, || {
         format!("set the faults of {}\n", cmd.target)
--- a/crates/comfreyhall-cli/src/lib.rs
+++ b/crates/comfreyhall-cli/src/lib.rs
@@ -1,10 +1,9 @@
 //! The operator command line of comfreyhall, and its load tool.
 //!
-//! Commands that change the catalog write to the platform's table service
-//! named in the settings file, each change with its audit entry. Commands
-//! that talk to the service (`addresses`, `generate`, `drain`) go to a
-//! daemon over HTTP, as any caller would. Every command prints a readable
-//! form, or JSON with `--json`.
+//! Commands that change the catalog write to the table service named in the
+//! settings file, and add an audit entry for each change. Commands that talk
+//! to the running service (`addresses`, `generate`, `drain`) call a daemon over
+//! HTTP, as any caller does. Every command prints text, or JSON with `--json`.
 
 mod account;
 mod args;
@@ -12,17 +11,17 @@
 mod catalog;
 mod client;
 mod explain;
-mod force;
 mod instance;
 mod lines;
 mod output;
+mod rollout;
 mod stats;
 
 use std::process::ExitCode;
 
 pub use args::Cli;
 
-/// Parses the process arguments, runs the command and reports errors.
+/// Parses the process arguments, runs the command and prints its output or error.
 pub fn main() -> ExitCode {
     let cli: Cli = argh::from_env();
     let runtime = tokio::runtime::Runtime::new().expect("a tokio runtime starts");
@@ -38,7 +37,7 @@
     }
 }
 
-/// Runs one command and returns what it prints.
+/// Runs one command and returns its output.
 pub async fn run(cli: Cli) -> eyre::Result<String> {
     use args::Command::*;
     let json = cli.json;
--- a/crates/comfreyhall-cli/src/lines.rs
+++ b/crates/comfreyhall-cli/src/lines.rs
@@ -1,53 +1,54 @@
-//! Reading the logs of daemons.
+//! Reads the log files of daemons.
 //!
-//! Every line of a daemon is one JSON object; whatever stands before it (a
-//! collector's prefix) is passed over.
+//! Each log line is one JSON object, optionally after a prefix from a log
+//! collector. The last word of the prefix names the daemon; without a prefix
+//! the file name stands for it. Lines that do not parse are skipped.
 
 use eyre::WrapErr;
 use serde_json::Value;
 
-/// One line of a log.
+/// One log line, with its timestamp in Unix ms.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Line {
-    pub(crate) at: u64,
+pub(crate) struct LogLine {
+    pub(crate) at_ms: u64,
     pub(crate) value: Value,
 }
 
-impl Line {
-    /// A text field; empty if there is none.
-    pub(crate) fn text(&self, field: &str) -> &str {
+impl LogLine {
+    /// The string field `field`, or an empty string if it is absent.
+    pub(crate) fn str_field(&self, field: &str) -> &str {
         self.value.get(field).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// A number; 0 if there is none.
-    pub(crate) fn number(&self, field: &str) -> u64 {
+    /// The integer field `field`, or 0 if it is absent.
+    pub(crate) fn u64_field(&self, field: &str) -> u64 {
         self.value.get(field).and_then(Value::as_u64).unwrap_or(0)
     }
 }
 
-/// The lines of `text`, which came from `origin`.
-pub(crate) fn parse(text: &str, origin: &str) -> Vec<Line> {
+/// Parses the log `content`, which was read from `origin`.
+pub(crate) fn parse(content: &str, origin: &str) -> Vec<LogLine> {
     let line = |raw: &str| {
         let start = raw.find('{')?;
         let mut value: Value = serde_json::from_str(&raw[start..]).ok()?;
-        let at = value.get("t")?.as_u64()?;
+        let at_ms = value.get("t")?.as_u64()?;
         let prefix = raw[..start].split_whitespace().last();
         let daemon = prefix.unwrap_or(origin).to_string();
         value
             .as_object_mut()?
             .insert("daemon".into(), daemon.into());
-        Some(Line { at, value })
+        Some(LogLine { at_ms, value })
     };
-    text.lines().filter_map(line).collect()
+    content.lines().filter_map(line).collect()
 }
 
-/// The lines of all files.
-pub(crate) fn read(paths: &[String]) -> eyre::Result<Vec<Line>> {
+/// Reads and parses all log files in `paths`.
+pub(crate) fn read(paths: &[String]) -> eyre::Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     for path in paths {
-        let text = std::fs::read_to_string(path)
+        let content = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("cannot read {path}; give paths of log files"))?;
-        lines.extend(parse(&text, path));
+        lines.extend(parse(&content, path));
     }
     Ok(lines)
 }
--- a/crates/comfreyhall-cli/src/output.rs
+++ b/crates/comfreyhall-cli/src/output.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Renders `value` as pretty JSON, or as `text` for people.
+/// Renders `value` as indented JSON, or the human-readable `text`.
 pub(crate) fn render(json: bool, value: &impl Serialize, text: impl FnOnce() -> String) -> String {
     if json {
         let mut out = serde_json::to_string_pretty(value).expect("results serialise");
@@ -13,7 +13,7 @@
     }
 }
 
-/// Lays out rows in columns under a header.
+/// Formats `rows` as a table of aligned columns with a header.
 pub(crate) fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|h| h.len()).collect();
     for row in rows {
--- a/crates/comfreyhall-cli/src/stats.rs
+++ b/crates/comfreyhall-cli/src/stats.rs
@@ -1,9 +1,10 @@
-//! `comfreyhall stats`: what each daemon spends, over a window.
+//! `comfreyhall stats`: the resource use of each daemon over a window.
 //!
-//! It reads `/v1/stats` of every instance in the settings twice, `window`
-//! seconds apart, and prints the differences as rates: share of a core,
-//! control bytes and calls a second, requests a second, and resident memory.
-//! Instances that do not answer are left out. docs/CAPACITY.md uses it.
+//! Reads `/v1/stats` of every instance in the settings twice, `window` seconds
+//! apart, and prints the differences as rates: share of a CPU core, control
+//! traffic in bytes and calls per second, requests per second, and resident
+//! memory. Instances that do not answer are omitted. The figures in
+//! docs/CAPACITY.md come from this command.
 
 use std::time::{Duration, Instant};
 
@@ -13,11 +14,11 @@
 
 use crate::{
     args::StatsCmd,
-    client::{self, HttpClient, Send},
+    client::{self, HttpCall, HttpClient},
     output::{render, table},
 };
 
-/// Longest one instance may take to answer.
+/// Timeout of one sample.
 const SAMPLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Deserialize, Clone)]
@@ -32,7 +33,7 @@
     adapters_cached: u64,
 }
 
-/// One daemon's rates over the window.
+/// The rates of one daemon over the window.
 #[derive(Debug, Serialize)]
 pub(crate) struct Rates {
     pub(crate) instance: String,
@@ -43,23 +44,23 @@
     pub(crate) control_calls_per_s: f64,
     pub(crate) table_calls_per_s: f64,
     pub(crate) requests_per_s: f64,
-    /// Processor ms per request routed, when any were.
+    /// CPU time per routed request, in ms; `None` without requests.
     pub(crate) cpu_ms_per_request: Option<f64>,
     pub(crate) adapters_cached: u64,
 }
 
-async fn sample(client: &HttpClient, addr: &str) -> Option<Sample> {
+async fn fetch_sample(client: &HttpClient, addr: &str) -> Option<Sample> {
     let url = format!("http://{addr}/v1/stats");
-    let reply = client::call(client, Send::get(&url, SAMPLE_TIMEOUT))
+    let reply = client::call(client, HttpCall::get(&url, SAMPLE_TIMEOUT))
         .await
         .ok()?;
     serde_json::from_slice(&reply.body).ok()
 }
 
-async fn sample_all(client: &HttpClient, s: &Settings) -> Vec<Sample> {
+async fn fetch_samples(client: &HttpClient, s: &Settings) -> Vec<Sample> {
     let mut out = Vec::new();
     for i in &s.instances {
-        if let Some(x) = sample(client, &i.listen).await {
+        if let Some(x) = fetch_sample(client, &i.listen).await {
             out.push(x);
         }
     }
@@ -67,8 +68,8 @@
 }
 
 fn round(x: f64, places: i32) -> f64 {
-    let k = 10f64.powi(places);
-    (x * k).round() / k
+    let factor = 10f64.powi(places);
+    (x * factor).round() / factor
 }
 
 fn rates(a: &Sample, b: &Sample, secs: f64) -> Rates {
@@ -87,18 +88,18 @@
     }
 }
 
-/// Samples every daemon twice and prints their rates.
+/// Samples every daemon twice and prints the rates.
 pub(crate) async fn run(settings: &str, cmd: StatsCmd, json: bool) -> eyre::Result<String> {
     if !(1..=600).contains(&cmd.window) {
         bail!("stats takes a --window of 1 to 600 seconds");
     }
     let s = Settings::load(settings)?;
     let client = client::client();
-    let before = sample_all(&client, &s).await;
-    let begun = Instant::now();
+    let before = fetch_samples(&client, &s).await;
+    let started = Instant::now();
     tokio::time::sleep(Duration::from_secs(cmd.window)).await;
-    let after = sample_all(&client, &s).await;
-    let secs = begun.elapsed().as_secs_f64();
+    let after = fetch_samples(&client, &s).await;
+    let secs = started.elapsed().as_secs_f64();
     let all: Vec<Rates> = after
         .iter()
         .filter_map(|b| {
