--- a/crates/comfreyhall-protocol/src/api.rs
+++ b/crates/comfreyhall-protocol/src/api.rs
@@ -1,33 +1,34 @@
-//! The caller-facing HTTP/JSON shapes.
+//! The JSON types of the HTTP API for callers.
 //!
 //! Requests and streamed chunks follow the OpenAI completions API so that
 //! existing client libraries work unchanged. The `model` field names the
 //! adapter and its version as `adapter@version`. comfreyhall's own fields
-//! (priority, deadline, non-idempotent marking) ride as extension fields that
-//! those libraries pass through untouched.
+//! (priority, deadline and the non-idempotent mark) are extension fields, which
+//! those libraries pass through unchanged.
 
 use serde::{Deserialize, Serialize};
 
 /// A completion request, as posted to `/v1/completions`.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct CompletionRequest {
-    /// `adapter@version`; a bare adapter name is refused.
+    /// `adapter@version`; an adapter name without a version is rejected.
     pub model: String,
     /// The prompt text.
     pub prompt: String,
     /// Tokens to generate, 1 to 4096; 16 when absent.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to stream chunks as server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Higher runs first; 0 when absent.
+    /// Requests with a higher priority run first; 0 when absent.
     #[serde(default)]
     pub priority: i32,
-    /// Milliseconds the caller will wait in all; the settings' default when absent.
+    /// Longest total time that the caller waits, in ms; when absent, the default from
+    /// the settings.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Set for calls that must run at most once, such as billed sessions.
+    /// Whether the request must run at most once, such as a billed session.
     #[serde(default)]
     pub non_idempotent: bool,
 }
@@ -41,7 +42,7 @@
 pub struct ChatMessage {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// What was said.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -55,7 +56,7 @@
     /// Tokens to generate, 1 to 4096; 16 when absent.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to stream chunks as server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
     /// As in [`CompletionRequest`].
@@ -85,7 +86,7 @@
     }
 }
 
-/// Asks an instance to cancel a request it runs.
+/// Asks an instance to cancel a request that it runs.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct CancelRequest {
     /// The request's id.
@@ -103,7 +104,7 @@
     pub finish_reason: Option<String>,
 }
 
-/// A completion, whole or as one streamed chunk.
+/// A complete completion or one streamed chunk of it.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Completion {
     /// The caller's request id.
@@ -112,7 +113,7 @@
     pub object: String,
     /// `adapter@version` of the slot that produced the text.
     pub model: String,
-    /// The choices; one.
+    /// Always exactly one choice.
     pub choices: Vec<Choice>,
 }
 
@@ -120,30 +121,30 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Certainly not run; safe to send again after `retry_after_ms`.
+    /// It did not run; it is safe to retry after `retry_after_ms`.
     NotRun,
-    /// It may have run; check before sending a non-idempotent call again.
+    /// It may have run; check before retrying a non-idempotent request.
     Unknown,
 }
 
-/// The body of every error answer.
+/// The body of every error response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ErrorBody {
     /// The error itself.
     pub error: ErrorDetail,
 }
 
-/// What went wrong and what the caller should do.
+/// Describes the error and what the caller should do.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ErrorDetail {
-    /// A stable kind, such as `unknown_adapter` or `overloaded`.
+    /// Stable name of the kind of error, such as `unknown_adapter` or `overloaded`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// A sentence that names the remedy.
+    /// Message for people, which says how to resolve the error.
     pub message: String,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back, in ms, for errors that may pass.
+    /// Delay before a retry, in ms, for transient errors.
     pub retry_after_ms: Option<u64>,
     /// The caller's request id.
     pub request_id: String,
@@ -154,6 +155,6 @@
 pub struct Addresses {
     /// Socket addresses of live entry instances, nearest domain first.
     pub addresses: Vec<String>,
-    /// How long the caller may keep this answer, in ms.
+    /// How long the caller may cache this answer, in ms.
     pub ttl_ms: u64,
 }
--- a/crates/comfreyhall-protocol/src/notice.rs
+++ b/crates/comfreyhall-protocol/src/notice.rs
@@ -1,18 +1,19 @@
-//! What targets say of themselves, in the metadata of every answer.
+//! Metadata in which a target reports its own state with every answer.
 
 use tonic::metadata::MetadataMap;
 
-/// Requests a second that the target takes from all daemons together.
+/// Rate limit of the target for all daemons together, in requests per second.
 pub const LIMIT: &str = "x-limit";
 
-/// Seconds for which the target wants nothing from the daemon that it turns away.
+/// Cooldown in seconds: how long the daemon whose call the target rejects should
+/// send it no calls.
 pub const COOLDOWN: &str = "retry-after";
 
-/// `1` if the target leaves.
+/// `1` if the target is draining.
 pub const DRAINING: &str = "x-leaving";
 
-/// The values under `name`.
+/// All values of the metadata key `name`.
 pub fn values<'a>(metadata: &'a MetadataMap, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-    let all = metadata.get_all(name).into_iter();
-    all.map(|v| v.as_encoded_bytes())
+    let entries = metadata.get_all(name).into_iter();
+    entries.map(|v| v.as_encoded_bytes())
 }
--- a/crates/comfreyhall-protocol/src/outcome.rs
+++ b/crates/comfreyhall-protocol/src/outcome.rs
@@ -1,23 +1,23 @@
-//! Whether a refused or failed call certainly did not run.
+//! Determines whether a refused or failed call certainly did not run.
 //!
-//! A caller that is told "not run" may send a billed request again, so that
-//! word must be true. Two things prove it: the target says so itself, with
-//! the [`NOT_RUN`] metadata on its status, or no connection could be opened,
-//! so nothing was ever sent. Everything else (a reset, a time-out, an answer
-//! lost on the way) leaves the outcome unknown, whatever its status code:
-//! transports make up codes of their own.
+//! A caller that is told "not run" may send a billed request again, so the
+//! statement must be true. Two things prove it: the target itself says so, with
+//! the [`NOT_RUN`] metadata on its status, or no connection could be opened, so
+//! nothing was sent. After any other failure (a reset, a timeout, a lost answer)
+//! the outcome is unknown, whatever the status code, because transports generate
+//! status codes of their own.
 
 use std::error::Error;
 
 use tonic::{ConnectError, Status};
 
-/// Metadata key a target sets on a refusal of a request it did not run.
+/// Metadata key that a target sets when it refuses a request without running it.
 pub const NOT_RUN: &str = "x-not-run";
 
-/// Marks a refusal as certainly not run.
+/// Marks the status of a refused request that did not run.
 pub fn not_run(mut status: Status) -> Status {
-    let yes = tonic::metadata::MetadataValue::from_static("1");
-    status.metadata_mut().insert(NOT_RUN, yes);
+    let marker = tonic::metadata::MetadataValue::from_static("1");
+    status.metadata_mut().insert(NOT_RUN, marker);
     status
 }
 
--- a/crates/comfreyhall-telemetry/src/exposition.rs
+++ b/crates/comfreyhall-telemetry/src/exposition.rs
@@ -1,10 +1,10 @@
-//! Metrics recorded with opentelemetry and written as Prometheus text.
+//! Exports opentelemetry metrics in the Prometheus text format.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// The instruments of one process, and their text.
+/// The metrics of one process and their Prometheus exporter.
 pub struct Exposition {
     registry: Registry,
     provider: SdkMeterProvider,
@@ -17,28 +17,28 @@
 }
 
 impl Exposition {
-    /// No instruments yet.
+    /// Creates an exporter without instruments.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry takes the exporter");
+            .expect("a new registry accepts the exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         Self { registry, provider }
     }
 
-    /// The meter to make instruments with.
+    /// The meter that creates the instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter(crate::METER)
     }
 
-    /// Everything recorded so far, in the Prometheus text format.
+    /// Encodes the current values of all metrics as Prometheus text.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         let families = self.registry.gather();
         if let Err(e) = TextEncoder::new().encode(&families, &mut out) {
-            log::warn!(target: "daemon", "metrics not written: {e}");
+            log::warn!(target: "daemon", "cannot encode metrics: {e}");
         }
         String::from_utf8_lossy(&out).into_owned()
     }
--- a/crates/comfreyhall-telemetry/src/json.rs
+++ b/crates/comfreyhall-telemetry/src/json.rs
@@ -1,10 +1,9 @@
-//! Structured logs on standard output that never block the work.
+//! Structured logs on standard output that never block the logging thread.
 //!
-//! What goes wrong without it: whoever reads standard output stalls, the
-//! pipe fills, and the next log line blocks the one thread that serves
-//! requests. So lines go through a bounded queue to a thread of their own;
-//! when the queue is full lines are dropped, and the count of the dropped
-//! ones is the next line written.
+//! If the reader of standard output stalls, the pipe fills, and a direct write
+//! would block the only thread that serves requests. Lines therefore go through a
+//! bounded queue to a writer thread. When the queue is full, lines are dropped,
+//! and the next line written reports how many.
 
 use std::{
     io::Write,
@@ -23,53 +22,57 @@
 use log4rs::append::Append;
 use serde_json::{Map, json};
 
-/// Lines that may wait for the writer: about a second of a busy daemon.
-const QUEUE: usize = 4_096;
+/// Capacity of the queue to the writer thread, in lines: about one second of a busy
+/// daemon's output.
+const QUEUE_LINES: usize = 4_096;
 
-/// Lines of one kind a second. A busy daemon serves some 40 requests a second
-/// with two lines each; a burst or a fault must not multiply what logging
-/// costs.
-const KIND_RATE: u32 = 200;
+/// Largest number of lines of one kind per second. A busy daemon serves about 40
+/// requests per second with two lines each; the limit keeps bursts and faults
+/// from multiplying the cost of logging.
+const MAX_KIND_LINES: u32 = 200;
 
-/// Kinds that are never left out: how a request failed is told for each, or
-/// nobody could say whether one that runs at most once has run.
-const ALWAYS: [&str; 4] = ["send", "given up", "stream broke off", "stream given up"];
+/// Messages that are never suppressed. They show how each request failed, which
+/// is needed to tell whether an at-most-once request has run.
+const UNLIMITED_MESSAGES: [&str; 4] = ["send", "given up", "stream broke off", "stream given up"];
 
-/// Counts the lines of each kind in the current second.
+/// Limits the lines per second of each kind (target and message).
 #[derive(Debug, Default)]
-pub(crate) struct Bound {
+pub(crate) struct RateLimiter {
     second: u64,
     counts: std::collections::HashMap<(String, String), u32>,
 }
 
-impl Bound {
-    /// Whether a line of this kind is written; with the counts of what was
-    /// left out in the second before, when a new one begins.
+impl RateLimiter {
+    /// Returns whether the record is written, and the number of lines suppressed
+    /// in the previous second if this record begins a new second.
     pub(crate) fn admit(&mut self, record: &Record<'_>, at_ms: u64) -> (bool, u64) {
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if at_ms / 1_000 != self.second {
             self.second = at_ms / 1_000;
-            let over = self.counts.values().map(|c| c.saturating_sub(KIND_RATE));
-            left_out = over.map(u64::from).sum();
+            let excess = self
+                .counts
+                .values()
+                .map(|c| c.saturating_sub(MAX_KIND_LINES));
+            suppressed = excess.map(u64::from).sum();
             self.counts.clear();
         }
         let message = record.args().to_string();
-        if record.level() <= log::Level::Warn || ALWAYS.contains(&message.as_str()) {
-            return (true, left_out);
+        if record.level() <= log::Level::Warn || UNLIMITED_MESSAGES.contains(&message.as_str()) {
+            return (true, suppressed);
         }
         let kind = (record.target().to_string(), message);
         let count = self.counts.entry(kind).or_default();
         *count += 1;
-        (*count <= KIND_RATE, left_out)
+        (*count <= MAX_KIND_LINES, suppressed)
     }
 }
 
-/// Sends lines to the writer's thread.
+/// A log4rs appender that sends JSON lines to a writer thread.
 #[derive(Debug)]
-pub(crate) struct Lines {
+pub(crate) struct JsonAppender {
     queue: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    bound: Mutex<Bound>,
+    limiter: Mutex<RateLimiter>,
 }
 
 struct Fields(Map<String, serde_json::Value>);
@@ -78,7 +81,7 @@
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => json!(number),
-            (None, Some(truth)) => json!(truth),
+            (None, Some(flag)) => json!(flag),
             (None, None) => json!(value.to_string()),
         };
         self.0.insert(key.to_string(), value);
@@ -91,8 +94,8 @@
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// One record as one line of JSON.
-pub(crate) fn line(record: &Record<'_>, at_ms: u64) -> Vec<u8> {
+/// Formats a record as one line of JSON.
+pub(crate) fn format_line(record: &Record<'_>, at_ms: u64) -> Vec<u8> {
     let mut fields = Fields(Map::new());
     fields.0.insert("t".into(), json!(at_ms));
     fields
@@ -110,53 +113,56 @@
     out
 }
 
-impl Lines {
-    /// Starts the writer's thread over `out`.
+impl JsonAppender {
+    /// Starts the writer thread, which writes to `out`.
     pub(crate) fn start(out: impl Write + Send + 'static) -> Self {
-        let (queue, lines) = sync_channel(QUEUE);
+        let (queue, line_queue) = sync_channel(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        std::thread::spawn(move || write_all(lines, counted, out));
+        let dropped_count = dropped.clone();
+        std::thread::spawn(move || run_writer(line_queue, dropped_count, out));
         Self {
             queue,
             dropped,
-            bound: Mutex::default(),
+            limiter: Mutex::default(),
         }
     }
 }
 
-fn write_all(lines: Receiver<Vec<u8>>, dropped: Arc<AtomicU64>, mut out: impl Write) {
-    while let Ok(first) = lines.recv() {
+fn run_writer(line_queue: Receiver<Vec<u8>>, dropped: Arc<AtomicU64>, mut out: impl Write) {
+    while let Ok(first) = line_queue.recv() {
         let mut batch = first;
-        while let Ok(next) = lines.try_recv() {
+        while let Ok(next) = line_queue.try_recv() {
             batch.extend_from_slice(&next);
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let note = json!({"t": now_ms(), "level": "WARN", "part": "logs", "msg": "lines dropped", "count": lost});
+        let dropped_now = dropped.swap(0, Ordering::Relaxed);
+        if dropped_now > 0 {
+            let note = json!({"t": now_ms(), "level": "WARN", "part": "logs", "msg": "lines dropped", "count": dropped_now});
             batch.extend_from_slice(note.to_string().as_bytes());
             batch.push(b'\n');
         }
-        // With standard output gone there is nowhere left to say so.
+        // Standard output is closed, so the error cannot be reported.
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
             return;
         }
     }
 }
 
-impl Append for Lines {
+impl Append for JsonAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let now = now_ms();
-        let (admitted, left_out) = {
-            let mut bound = self.bound.lock().expect("no holder of this lock panics");
-            bound.admit(record, now)
+        let (admitted, suppressed) = {
+            let mut limiter = self
+                .limiter
+                .lock()
+                .expect("no thread panics while it holds this lock");
+            limiter.admit(record, now)
         };
-        // What is left out is counted with what was dropped.
-        self.dropped.fetch_add(left_out, Ordering::Relaxed);
+        // Suppressed lines are reported together with dropped ones.
+        self.dropped.fetch_add(suppressed, Ordering::Relaxed);
         if !admitted {
             return Ok(());
         }
-        if let Err(TrySendError::Full(_)) = self.queue.try_send(line(record, now)) {
+        if let Err(TrySendError::Full(_)) = self.queue.try_send(format_line(record, now)) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
--- a/crates/comfreyhall-telemetry/src/tests.rs
+++ b/crates/comfreyhall-telemetry/src/tests.rs
@@ -7,13 +7,13 @@
 use log::{Level, Record};
 use log4rs::append::Append;
 
-use crate::json::{Bound, Lines, line};
+use crate::json::{JsonAppender, RateLimiter, format_line};
 
-fn record<R>(f: impl FnOnce(&Record<'_>) -> R) -> R {
-    kind("send", f)
+fn with_record<R>(f: impl FnOnce(&Record<'_>) -> R) -> R {
+    with_message("send", f)
 }
 
-fn kind<R>(message: &str, f: impl FnOnce(&Record<'_>) -> R) -> R {
+fn with_message<R>(message: &str, f: impl FnOnce(&Record<'_>) -> R) -> R {
     let fields = [("id", "r1"), ("outcome", "refused")];
     f(&Record::builder()
         .level(Level::Info)
@@ -24,23 +24,23 @@
 }
 
 #[test]
-fn line_holds_fields() {
-    let text = record(|r| String::from_utf8(line(r, 5)).unwrap());
+fn format_line_includes_fields() {
+    let text = with_record(|r| String::from_utf8(format_line(r, 5)).unwrap());
     let value: serde_json::Value = serde_json::from_str(&text).unwrap();
     assert_eq!(value["part"], "serve");
     assert_eq!(value["id"], "r1");
     assert_eq!(value["t"], 5);
 }
 
-/// A writer that blocks until it is let go.
-struct Stalled {
-    go: mpsc::Receiver<()>,
+/// A writer that blocks until it is released.
+struct BlockedWriter {
+    release: mpsc::Receiver<()>,
     seen: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stalled {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let _ = self.go.recv_timeout(Duration::from_secs(60));
+        let _ = self.release.recv_timeout(Duration::from_secs(60));
         self.seen.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -50,37 +50,37 @@
     }
 }
 
-/// Symptom: requests stood still while nobody read standard output. Events:
-/// the reader stalls, the pipe fills, a log line blocks. Cause: lines were
-/// written by the thread that serves requests.
+/// Guards against requests that hang while nobody reads standard output: the
+/// reader stalls, the pipe fills, and a log line blocks the thread that serves
+/// requests.
 #[test]
 fn append_stalled_reader_drops_and_counts() {
-    let (go, wait) = mpsc::channel();
+    let (release, blocked) = mpsc::channel();
     let seen = Arc::new(Mutex::new(Vec::new()));
-    let lines = Lines::start(Stalled {
-        go: wait,
+    let appender = JsonAppender::start(BlockedWriter {
+        release: blocked,
         seen: seen.clone(),
     });
     for _ in 0..10_000 {
-        record(|r| lines.append(r)).unwrap();
+        with_record(|r| appender.append(r)).unwrap();
     }
-    drop(go);
+    drop(release);
     let dropped = |s: &[u8]| String::from_utf8_lossy(s).contains("lines dropped");
     while !dropped(&seen.lock().unwrap()) {
-        record(|r| lines.append(r)).unwrap();
+        with_record(|r| appender.append(r)).unwrap();
         std::thread::yield_now();
     }
 }
 
-/// Symptom: a burst made logging cost more than serving. Events: a thousand
-/// requests are answered within a second. Cause: one line each, unbounded.
+/// Guards against a burst that makes logging cost more than serving: a thousand
+/// requests are answered within a second, each with a line.
 #[test]
-fn admit_burst_is_bounded_failures_are_not() {
-    let mut bound = Bound::default();
+fn admit_limits_bursts_but_not_failures() {
+    let mut limiter = RateLimiter::default();
     let mut admitted = |message: &str, at_ms: u64| {
-        let lines = (0..1_000).map(|_| kind(message, |r| bound.admit(r, at_ms)));
-        lines.fold((0, 0), |sum, (ok, left)| {
-            (sum.0 + u32::from(ok), sum.1 + left)
+        let results = (0..1_000).map(|_| with_message(message, |r| limiter.admit(r, at_ms)));
+        results.fold((0, 0), |sum, (is_admitted, suppressed)| {
+            (sum.0 + u32::from(is_admitted), sum.1 + suppressed)
         })
     };
     assert_eq!(admitted("answered", 5_000), (200, 0));
