--- a/crates/comfreyhall-cli/src/bench/caller.rs
+++ b/crates/comfreyhall-cli/src/bench/caller.rs
@@ -57,10 +57,11 @@
     /// Share of completions that are streamed.
     pub(super) stream_share: f64,
     pub(super) start: Instant,
-    /// Nothing is counted before this time, while the adapter slots fill.
+    /// Time after `start` during which nothing is counted, while the adapter slots fill.
     pub(super) warmup: Duration,
-    /// When the popularity of adapters changes.
+    /// Time after `start` at which the popularity of adapters changes.
     pub(super) shift: Duration,
+    /// Time after `start` at which the callers stop.
     pub(super) end: Duration,
 }
 
@@ -125,7 +126,7 @@
     fn next_request(&mut self, k: u64) -> BenchRequest {
         let plan = self.plan.clone();
         let key = format!("b{}-{}-{k}", plan.seed, self.id);
-        let draw_value: f64 = self.rng.random();
+        let draw: f64 = self.rng.random();
         let stream = self.rng.random_bool(plan.stream_share);
         let shifted = plan.start.elapsed() >= plan.shift;
         let rank = if shifted && self.rng.random_bool(SHIFT_SHARE) {
@@ -134,7 +135,7 @@
             self.zipf.sample(&mut self.rng) as usize - 1
         };
         let prompt = format!("caller {} request {k}", self.id);
-        let payload = if draw_value < plan.plain_share {
+        let payload = if draw < plan.plain_share {
             Payload::Plain(prompt)
         } else {
             Payload::Completion {
@@ -145,7 +146,7 @@
         };
         BenchRequest {
             key,
-            at_most_once: draw_value < plan.plain_share + plan.once_share,
+            at_most_once: draw < plan.plain_share + plan.once_share,
             payload,
         }
     }
@@ -202,8 +203,8 @@
             .collect();
         for entry in shuffled {
             let url = format!("http://{entry}/v1/addresses");
-            let asked = client::call(&self.client, HttpCall::get(&url, ADDRESS_TIMEOUT)).await;
-            let Ok(reply) = asked else { continue };
+            let response = client::call(&self.client, HttpCall::get(&url, ADDRESS_TIMEOUT)).await;
+            let Ok(reply) = response else { continue };
             let Ok(answer) = serde_json::from_slice::<Addresses>(&reply.body) else {
                 continue;
             };
@@ -357,14 +358,14 @@
         });
     }
     let mut text = String::new();
-    let mut whole = Value::Null;
+    let mut merged = Value::Null;
     for chunk in chunks {
         let v: Value = serde_json::from_str(chunk).map_err(|_| AttemptResult::Wrong)?;
         text.push_str(v["choices"][0]["text"].as_str().unwrap_or_default());
-        whole = v;
+        merged = v;
     }
-    whole["choices"][0]["text"] = text.into();
-    Ok(whole)
+    merged["choices"][0]["text"] = text.into();
+    Ok(merged)
 }
 
 #[cfg(test)]
--- a/crates/comfreyhall-cli/src/instance.rs
+++ b/crates/comfreyhall-cli/src/instance.rs
@@ -30,7 +30,7 @@
     let reply = get_from_any(client, s, "/v1/addresses").await?;
     let answer: Addresses = serde_json::from_slice(&reply.body)?;
     if answer.addresses.is_empty() {
-        bail!("no live instance is known yet; wait a heartbeat and ask again");
+        bail!("no live instance is known yet; wait for a heartbeat and try again");
     }
     Ok(answer)
 }
