--- a/crates/comfreyhall-daemon/src/outbound.rs
+++ b/crates/comfreyhall-daemon/src/outbound.rs
@@ -11,7 +11,7 @@
     Change, LimitShares, Notice, TargetSignals, parse_cooldown, parse_draining, parse_limit,
 };
 use comfreyhall_placement::EngineView;
-use comfreyhall_protocol::notice::{LEAVING, LIMIT, REST, values};
+use comfreyhall_protocol::notice::{COOLDOWN, DRAINING, LIMIT, values};
 use tonic::{Response, Status, metadata::MetadataMap};
 
 use crate::{app::App, error::RouteError};
@@ -151,10 +151,10 @@
     let mut anomalies = Vec::new();
     let limit = parse_limit(values(metadata, LIMIT), &mut anomalies);
     let mut cooldown_ms = match rejected {
-        true => parse_cooldown(values(metadata, REST), &mut anomalies),
+        true => parse_cooldown(values(metadata, COOLDOWN), &mut anomalies),
         false => None,
     };
-    let draining = parse_draining(values(metadata, LEAVING), &mut cooldown_ms, &mut anomalies);
+    let draining = parse_draining(values(metadata, DRAINING), &mut cooldown_ms, &mut anomalies);
     let notice = Notice {
         limit,
         cooldown_ms,
--- a/crates/comfreyhall-standins/src/faults.rs
+++ b/crates/comfreyhall-standins/src/faults.rs
@@ -52,7 +52,7 @@
             put(notice::LIMIT, self.limit.to_string());
         }
         if self.draining {
-            put(notice::LEAVING, "1".to_string());
+            put(notice::DRAINING, "1".to_string());
         }
     }
 }
@@ -117,7 +117,7 @@
         notices.write_to(status.metadata_mut());
         let cooldown = notices.cooldown_s.to_string();
         let cooldown = cooldown.parse().expect("a number is valid metadata");
-        status.metadata_mut().insert(notice::REST, cooldown);
+        status.metadata_mut().insert(notice::COOLDOWN, cooldown);
         Err(status)
     }
 
