--- a/crates/comfreyhall-node/src/outbound/log.rs
+++ b/crates/comfreyhall-node/src/outbound/log.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// Logs one change; `by` is who learned of it from the target, and `age` the
-/// most ms since then.
+/// Logs one change; `by` is who learned of it from the target, and `age` an
+/// upper bound of the ms since then.
 pub(super) fn log_change(node: &Node, target: &Name, change: Change, by: &str, age: u64) {
     match change {
         Change::Limited {
